--- a/src/currantcart/proxy/callers/frontend.py
+++ b/src/currantcart/proxy/callers/frontend.py
@@ -146,9 +146,9 @@
             ),
         )
         after = rejection.retry_after_ms
-        head, body = intake.own_answer(
+        head, body = intake.local_answer(
             rejection.code,
-            retry_after_ms=intake.spread(after, self.context.rng),
+            retry_after_ms=intake.jitter(after, self.context.rng),
         )
         exchange.take_answer(rejection.status, head, body)
 
--- a/src/currantcart/proxy/requests/__init__.py
+++ b/src/currantcart/proxy/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request on its way: checked, routed, tried, told how it ended."""
+"""A request from its checks to its outcome: routing, attempts, retries."""
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: handed to a guard, and what comes back of it."""
+"""One attempt of a request: sent to a guard, and the result processed."""
 
 from __future__ import annotations
 
@@ -11,36 +11,45 @@
 from currantcart.routing import picker
 
 RETURN_MARGIN_MS = 25.0
-"""Taken off the time that a target gets, for its answer's way back."""
+"""Subtracted from the time that a target gets for a request.
+
+Leaves time for the answer to travel back before the deadline.
+"""
 
 
 class Attempts:
-    """Hands requests to guards, the own one and those of peers."""
+    """Sends requests to guards: the local one and those of peers."""
 
     def __init__(
         self,
         context: proxy_context.Context,
         *,
         own_guard: guard.Guard,
-        outcomes: local_reply.Endings,
+        outcomes: local_reply.AttemptHandler,
     ) -> None:
         self.context = context
         self.guard = own_guard
         self.outcomes = outcomes
 
-    # Handing over.
+    # Sending.
 
     def begin(self, call: call_module.Call, target: picker.Target) -> None:
-        """Notes that a target was chosen."""
+        """Starts an attempt at the chosen target."""
         call.target = target
-        call.passed_over.add(target.instance)
+        call.tried_instances.add(target.instance)
         call.outcomes.append(attempt.Outcome.NOT_HANDED_OVER)
         target.open += 1
 
     def opening(
         self, call: call_module.Call, number: int, now: float
     ) -> frames.Open:
-        """Returns the message that opens a request."""
+        """Returns the `Open` message for a request.
+
+        Args:
+          call: The request.
+          number: Number of the call on its stream.
+          now: Milliseconds of the node's clock.
+        """
         request = call.request
         assert call.target is not None
         return frames.Open(
@@ -60,24 +69,24 @@
             repeated=call.lineage.repeated or call.handed_to_targets > 0,
         )
 
-    def hand_to_own(self, call: call_module.Call, now: float) -> None:
-        """Hands a request to the own guard."""
-        self.step(call, attempt.Event.HAND_OVER)
-        reply = call.local = local_reply.LocalReply(self.outcomes, call)
+    def hand_to_local(self, call: call_module.Call, now: float) -> None:
+        """Sends a request to the local guard."""
+        self.apply_event(call, attempt.Event.HAND_OVER)
+        reply = call.local_reply = local_reply.LocalReply(self.outcomes, call)
         opening = self.opening(call, 0, now)
         job = self.guard.arrive(
             opening, expires_at=now + opening.left_ms, reply=reply
         )
-        if call.local is reply:
-            # The guard may have refused it meanwhile, and the request may be
-            # with a peer already; a cancel must then go there.
+        if call.local_reply is reply:
+            # The guard may have refused the request within `arrive`, and the
+            # request may already be at a peer; a cancel must then go there.
             call.job = job
 
     def hand_to_peer(
         self, call: call_module.Call, found: link.Link, now: float
     ) -> None:
-        """Hands a request to a peer's guard."""
-        self.step(call, attempt.Event.HAND_OVER)
+        """Sends a request to a peer's guard."""
+        self.apply_event(call, attempt.Event.HAND_OVER)
         call.link, call.number = found, next(found.numbers)
         found.calls[call.number] = call
         opening = self.opening(call, call.number, now)
@@ -86,18 +95,18 @@
         found.send(opening)
         frames.send_rest(call.number, body, found.send)
 
-    # Following it.
+    # Results.
 
-    def step(
+    def apply_event(
         self, call: call_module.Call, event: attempt.Event
     ) -> attempt.Outcome:
-        """Takes an event of the present attempt."""
+        """Applies an event to the current attempt; returns its outcome."""
         outcome = attempt.after(call.outcomes[-1], event)
         call.outcomes[-1] = outcome
         return outcome
 
     def frame(self, found: link.Link, frame: frames.Frame) -> None:
-        """Takes a frame of a call that this node opened."""
+        """Handles a frame of a call that this node opened."""
         assert isinstance(
             frame, frames.Answer | frames.Refuse | frames.Lost | frames.Data
         )
@@ -105,14 +114,14 @@
         if not isinstance(call, call_module.Call) or call.done:
             return
         if isinstance(frame, frames.Data):
-            self.take_chunk(call, frame.chunk)
+            self.handle_chunk(call, frame.chunk)
             return
         if call.target is not None:
             call.target.hear(
                 busy=frame.busy, limit=frame.limit, now=self.context.now
             )
         if isinstance(frame, frames.Answer):
-            self.take_answer(call, frame)
+            self.handle_answer(call, frame)
         elif isinstance(frame, frames.Refuse):
             self.outcomes.refused(
                 call,
@@ -123,55 +132,60 @@
         else:
             self.outcomes.lost(call, frame.code)
 
-    def take_answer(
+    def handle_answer(
         self, call: call_module.Call, answer: frames.Answer
     ) -> None:
-        """Takes an answer, or the first part of a long one."""
+        """Handles a complete answer, or the first part of a long one."""
         if answer.more:
-            call.pending, call.missing = answer, answer.more
+            call.partial_answer, call.missing = answer, answer.more
             call.chunks.append(answer.body)
         else:
             self.outcomes.answered(
                 call, answer.status, answer.head, answer.body
             )
 
-    def take_chunk(self, call: call_module.Call, chunk: bytes) -> None:
-        """Takes a further part of an answer."""
-        pending = call.pending
-        if pending is None:
+    def handle_chunk(self, call: call_module.Call, chunk: bytes) -> None:
+        """Handles a further part of an answer."""
+        partial = call.partial_answer
+        if partial is None:
             return
         call.chunks.append(chunk)
         call.missing -= len(chunk)
         if call.missing <= 0:
             body = b"".join(call.chunks)
-            self.outcomes.answered(call, pending.status, pending.head, body)
+            self.outcomes.answered(call, partial.status, partial.head, body)
+
+    # Ending.
 
-    # Ending it.
+    def end_attempt(self, call: call_module.Call, *, failed: bool) -> None:
+        """Ends the current attempt and releases its target.
 
-    def leave(self, call: call_module.Call, *, failed: bool) -> None:
-        """Ends the present attempt's hold on its target."""
+        Args:
+          call: The request.
+          failed: Whether the attempt counts as a failure of the target.
+        """
         target, call.target = call.target, None
         if target is not None:
             target.open -= 1
             target.note(failed=failed, now=self.context.now)
         if call.link is not None:
             call.link.calls.pop(call.number, None)
-        call.link = call.job = call.local = None
-        call.pending = None
+        call.link = call.job = call.local_reply = None
+        call.partial_answer = None
         call.chunks.clear()
 
-    def withdraw(self, call: call_module.Call) -> None:
-        """Tells the guard that nobody waits any more."""
+    def cancel(self, call: call_module.Call) -> None:
+        """Cancels the current attempt, since no caller waits for it."""
         if call.job is not None:
             self.guard.cancel(call.job)
         elif call.link is not None:
             call.link.send(frames.Cancel(call.number))
         if call.outcomes:
-            self.step(call, attempt.Event.LOSE)
-        self.leave(call, failed=False)
+            self.apply_event(call, attempt.Event.LOSE)
+        self.end_attempt(call, failed=False)
 
     def link_lost(self, found: link.Link) -> None:
-        """Ends the attempts on a stream that was lost."""
+        """Marks the attempts on a lost stream as lost."""
         calls, found.calls = found.calls, {}
         for call in calls.values():
             if isinstance(call, call_module.Call) and call.link is found:
--- a/src/currantcart/proxy/requests/call.py
+++ b/src/currantcart/proxy/requests/call.py
@@ -1,4 +1,4 @@
-"""A request on its way, as its first node keeps it."""
+"""State of a request at the node that received it from its caller."""
 
 from __future__ import annotations
 
@@ -16,18 +16,33 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Call:
-    """A request on its way.
+    """State of a request between its arrival and its final answer.
 
     Attributes:
-      request: The request as taken from its caller.
-      service: Service that it goes to.
-      answer: Takes the final answer.
-      started_at: When it was whole.
-      expires_at: When its caller, or the operator, no longer waits.
-      lineage: What it has of the request at which its chain began.
-      outcomes: What is known of each attempt.
-      passed_over: Instances that had it already.
-      guards: Guards that refused it.
+      request: The request as received from its caller.
+      service: Service that it is routed to.
+      answer: Receives status, head and body of the final answer.
+      started_at: When the complete request was received.
+      expires_at: When the caller's deadline or the route's time-out ends.
+      lineage: What is known of the root request of its call chain.
+      outcomes: Outcome of each attempt, the oldest first.
+      tried_instances: Instances that were already chosen for an attempt.
+      refusing_guards: Number of guards that refused it.
+      handed_to_targets: Attempts that reached a target, or may have.
+      retry_after_ms: Longest wait that a refusal asked for; 0 for none.
+      last_code: Code of the last refusal or loss.
+      target: Target of the current attempt.
+      link: Stream of the current attempt, when it is at a peer.
+      number: Number of the call on that stream.
+      job: The request at the local guard, when it is there.
+      timer: Ends the request when it expires.
+      done: Whether the request has ended.
+      partial_answer: First part of an answer whose body isn't complete.
+      chunks: Parts of that body, in order.
+      missing: Bytes of that body still to come.
+      local_reply: Receives the result of the local guard; a later attempt
+        replaces it, so that results of an earlier one are ignored.
+      levels: Pressure levels below the service when shedding was decided.
     """
 
     request: intake.Request
@@ -37,8 +52,8 @@
     expires_at: float
     lineage: lineage.Lineage = lineage.UNKNOWN
     outcomes: list[attempt.Outcome] = dataclasses.field(default_factory=list)
-    passed_over: set[str] = dataclasses.field(default_factory=set)
-    guards: int = 0
+    tried_instances: set[str] = dataclasses.field(default_factory=set)
+    refusing_guards: int = 0
     handed_to_targets: int = 0
     retry_after_ms: float = 0.0
     last_code: str = "no_target"
@@ -48,8 +63,8 @@
     job: job_module.Job | None = None
     timer: asyncio.TimerHandle | None = None
     done: bool = False
-    pending: frames.Answer | None = None
+    partial_answer: frames.Answer | None = None
     chunks: list[bytes] = dataclasses.field(default_factory=list)
     missing: int = 0
-    local: object = None
+    local_reply: object = None
     levels: pressure.Pressure = dataclasses.field(default_factory=dict)
--- a/src/currantcart/proxy/requests/edge.py
+++ b/src/currantcart/proxy/requests/edge.py
@@ -1,4 +1,4 @@
-"""Shedding where a request begins, by how full the services below it are."""
+"""Load shedding at the ingress, by the pressure on services further down."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from currantcart.proxy.requests import call as call_module
 
 CALLED_MS = 3_000.0
-"""Time for which a service counts as called by the own target."""
+"""Time for which a service counts as called by the local target."""
 
 
-class Edge:
-    """One node's shedding of the requests that begin at it.
+class IngressShedder:
+    """Sheds root requests at the node that receives them.
 
     Attributes:
-      called: Services that the own target calls, and when it did last.
-      shedder: What has to go, by route and service below.
+      called: Services that the local target calls, with the time of the last
+        call.
+      shedder: Decides what is shed, by route and saturated service.
     """
 
     def __init__(
@@ -32,7 +33,10 @@
         self.shedder = pressure.Shedder(context.rng)
 
     def shed_by(self, call: call_module.Call) -> str:
-        """Returns the service that has no room for a request, or nothing."""
+        """Returns the saturated service that a request is shed for.
+
+        The text is empty when the request is admitted.
+        """
         request = call.request
         call.levels = self.pressure_on(call.service)
         if not call.levels:
@@ -45,8 +49,8 @@
             now=self.context.now,
         )
 
-    def note_end(self, call: call_module.Call, *, failed: bool) -> None:
-        """Takes how a request ended that was let through."""
+    def record_end(self, call: call_module.Call, *, failed: bool) -> None:
+        """Records the result of an admitted request."""
         if call.levels:
             self.shedder.note_end(
                 route=call.request.route.name,
@@ -55,12 +59,12 @@
                 now=self.context.now,
             )
 
-    def note_called(self, service: str) -> None:
-        """Takes that the own target calls a service."""
+    def record_called(self, service: str) -> None:
+        """Records that the local target calls a service."""
         self.called[service] = self.context.now
 
     def called_pressure(self) -> pressure.Pressure:
-        """Returns how full the services are that the own target calls."""
+        """Returns the pressure on the services that the local target calls."""
         recent = self.context.now - CALLED_MS
         own = self.context.settings.service
         levels = pressure.strongest(
--- a/src/currantcart/proxy/requests/endings.py
+++ b/src/currantcart/proxy/requests/endings.py
@@ -1,4 +1,4 @@
-"""What is counted and logged as a request ends."""
+"""Metrics and log lines written when a request ends."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from currantcart.proxy.requests import call as call_module
 from currantcart.routing import picker
 
-SAMPLED = 0.002
-"""Part of the requests that go well that get a line."""
+LOGGED_SHARE = 0.002
+"""Share of the requests answered within their objective that are logged."""
 CANDIDATES_MAX = 8
 
 
 def count_end(
     context: proxy_context.Context, call: call_module.Call, outcome: str
 ) -> None:
-    """Counts a request that has ended."""
+    """Counts a request that has ended, and observes its duration."""
     counts = context.counts
     counts.add("requests", call.service, outcome)
     since = context.now - call.request.begun_at
@@ -24,11 +24,11 @@
 def log_answer(
     context: proxy_context.Context, call: call_module.Call, status: int
 ) -> None:
-    """Logs an answer that came late, and a few of the others."""
+    """Logs an answer that missed its objective, and a sample of the others."""
     after_ms = context.now - call.request.begun_at
     objective_ms = call.request.route.objective_ms
     late = after_ms > objective_ms
-    if not late and context.rng.random() >= SAMPLED:
+    if not late and context.rng.random() >= LOGGED_SHARE:
         return
     context.log.event(
         "answered_late" if late else "answered",
@@ -37,7 +37,7 @@
         service=call.service,
         status=status,
         outcomes=",".join(item.name.lower() for item in call.outcomes),
-        had_it=",".join(sorted(call.passed_over)),
+        had_it=",".join(sorted(call.tried_instances)),
         after_ms=round(after_ms),
         objective_ms=round(objective_ms),
         version=context.freshness.version,
@@ -45,14 +45,14 @@
 
 
 def log_left(context: proxy_context.Context, call: call_module.Call) -> None:
-    """Logs a request whose caller has left before its answer."""
+    """Logs a request whose caller disconnected before the answer."""
     context.log.event(
         "caller_left",
         id=call.request.request_id,
         route=call.request.route.name,
         service=call.service,
         outcomes=",".join(item.name.lower() for item in call.outcomes),
-        had_it=",".join(sorted(call.passed_over)),
+        had_it=",".join(sorted(call.tried_instances)),
         after_ms=round(context.now - call.request.begun_at),
     )
 
@@ -62,7 +62,7 @@
     call: call_module.Call,
     known: list[picker.Target],
 ) -> str:
-    """Returns the targets that were known, with their loads and ages."""
+    """Returns known targets with loads and the loads' ages, for a log line."""
     now = context.now
     return ",".join(target.text(now) for target in known[:CANDIDATES_MAX])
 
@@ -75,7 +75,7 @@
     status: int,
     known: list[picker.Target],
 ) -> None:
-    """Logs a request that did not end well."""
+    """Logs a request that failed, with the targets that were known."""
     context.log.event(
         "request_failed",
         id=call.request.request_id,
@@ -84,7 +84,7 @@
         status=status,
         code=code,
         outcomes=",".join(item.name.lower() for item in call.outcomes),
-        had_it=",".join(sorted(call.passed_over)),
+        had_it=",".join(sorted(call.tried_instances)),
         after_ms=round(context.now - call.request.begun_at),
         version=context.freshness.version,
         candidates=candidates(context, call, known),
--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -1,7 +1,7 @@
 """Checks that turn a parsed request into one that may be routed.
 
-Decisions only: what is known and the time come in, a request or a refusal
-goes out.
+The checks do no I/O: state and time are passed in, and a request or a rejection
+is returned.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from currantcart.workspace import quota
 
 STALE_MS = 3_000.0
-"""Age of the configuration beyond which a missing route proves nothing."""
+"""Age of the configuration above which a missing route proves nothing."""
 NOT_READY_RETRY_MS = 500.0
 RANKS_MAX = 16
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request of a caller, whole and checked.
+    """A caller's request that was received completely and passed the checks.
 
     Attributes:
-      route: Where it goes.
-      request_id: Its id, as the caller gave it.
+      route: Route that it matches.
+      request_id: Its id, as sent by the caller.
       method: HTTP method.
       path: Path and query as received.
       head: End-to-end header lines for the target.
       body: Its body.
-      begun_at: When its head was here.
-      deadline_ms: How long its caller waits from then on.
+      begun_at: When its complete head had been received.
+      deadline_ms: How long its caller waits from `begun_at` on.
       priority: Rank, 0 is the most urgent.
       workspace: Workspace of its key; empty without one.
-      internal: Whether it is a call that a target makes of its own.
+      internal: Whether it is a call made by the local target.
     """
 
     route: catalog_model.Route
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestHead:
-    """A request's head, as the parser leaves it.
+    """A request's head, as parsed.
 
     Attributes:
       method: HTTP method.
@@ -64,7 +64,7 @@
       deadline: Value of the deadline header; None without one.
       key: Value of the key header; None without one.
       lines: End-to-end header lines.
-      begun_at: When it was here.
+      begun_at: When it was complete.
     """
 
     method: str = ""
@@ -79,19 +79,19 @@
     def match(
         self, catalog: catalog_model.Catalog
     ) -> catalog_model.Route | None:
-        """Returns the route of the request."""
+        """Returns the route that host and path match; None without one."""
         return catalog.match(self.host, self.path.partition("?")[0])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that goes nowhere.
+    """Answer to a request that is not routed.
 
     Attributes:
       status: HTTP status.
-      code: Why.
-      retry_after_ms: When coming back may help; 0 says nothing.
-      workspace: Whose request it is, where that is known.
+      code: Error code, the body of the answer.
+      retry_after_ms: When a retry may succeed; 0 for no Retry-After.
+      workspace: Workspace of the request; empty when it isn't known.
     """
 
     status: int
@@ -107,8 +107,10 @@
     """The checks of one node.
 
     Attributes:
-      service: Service of the target beside the node.
-      revoke_ms: Time within which a withdrawn key must stop.
+      revoke_ms: Time within which a withdrawn key must stop working.
+      quotas: Rate limits of the workspaces.
+      workspace_line: Header line for the target that names the workspace.
+      caller_line: Header line for the target that names the local service.
     """
 
     def __init__(
@@ -128,26 +130,30 @@
         self,
         head: RequestHead,
         catalog: catalog_model.Catalog | None,
-        known: freshness.Freshness,
+        config_freshness: freshness.Freshness,
         now: float,
         *,
         closing: bool = False,
     ) -> Request | Rejection:
-        """Decides on a whole request.
+        """Checks a complete request.
 
         Args:
           head: Its head.
-          catalog: Configuration in force.
-          known: How current it is.
+          catalog: Configuration in force; None before the first one.
+          config_freshness: How current the configuration is.
           now: Milliseconds of the node's clock.
-          closing: Whether only calls of the own target are still taken: a
-            root taken late in a shutdown would be cut with its work done.
-            Without keys nothing tells one from the other, and all are taken.
+          closing: Whether only calls of the local target are still accepted:
+            a root request accepted late in a shutdown would be cut off after
+            its work was done. Without keys the two can't be told apart, and
+            all are accepted.
+
+        Returns:
+          The request to route, or the reason why it is not routed.
         """
         if catalog is None:
             return NOT_READY
         route = head.match(catalog)
-        current = known.age(now) < STALE_MS
+        current = config_freshness.age(now) < STALE_MS
         if route is None:
             return Rejection(404, "no_route") if current else NOT_READY
         internal = catalog.keyed and route.keyless
@@ -177,7 +183,7 @@
             found = self.workspace_of(
                 head,
                 catalog,
-                known,
+                config_freshness,
                 objective_ms=route.objective_ms,
                 now=now,
             )
@@ -193,19 +199,28 @@
         self,
         head: RequestHead,
         catalog: catalog_model.Catalog,
-        known: freshness.Freshness,
+        config_freshness: freshness.Freshness,
         *,
         objective_ms: float,
         now: float,
     ) -> catalog_model.Workspace | Rejection:
-        """Finds the workspace of a key, and takes a token of its rate."""
-        if not known.may_serve_keys(now, bound_ms=self.revoke_ms):
-            # The key may have been withdrawn without this node hearing it.
+        """Returns the workspace of a key, and takes a token of its rate limit.
+
+        Args:
+          head: Head of the request.
+          catalog: Configuration in force.
+          config_freshness: How current it is.
+          objective_ms: Latency objective of the route.
+          now: Milliseconds of the node's clock.
+        """
+        if not config_freshness.may_serve_keys(now, bound_ms=self.revoke_ms):
+            # The key may have been withdrawn while updates did not reach this
+            # node.
             return Rejection(503, "config_stale", NOT_READY_RETRY_MS)
         key = (head.key or b"").decode("latin-1")
         found = catalog.workspaces.get(key)
         if found is None:
-            if known.age(now) < STALE_MS:
+            if config_freshness.age(now) < STALE_MS:
                 return Rejection(401, "key_unknown")
             return NOT_READY
         wait_ms = self.quotas.admit(found.name, now)
@@ -220,20 +235,23 @@
 def rank_of(
     route: catalog_model.Route, workspace: catalog_model.Workspace | None
 ) -> int:
-    """Returns a root request's rank; 0 is left to targets' own calls.
+    """Returns a root request's rank; 0 is reserved for calls of targets.
 
-    The workspace's rank goes before the route's, which divides what is of
-    one rank.
+    The workspace's priority decides first; the route's priority orders
+    requests of the same workspace priority.
     """
     first = route.priority
     if workspace is not None and workspace.priority is not None:
         first = workspace.priority
-    kept = min(RANKS_MAX, max(0, first))
-    return 1 + kept * RANKS_MAX + min(RANKS_MAX - 1, max(0, route.priority))
+    clamped = min(RANKS_MAX, max(0, first))
+    return 1 + clamped * RANKS_MAX + min(RANKS_MAX - 1, max(0, route.priority))
 
 
 def parse_deadline(value: bytes | None) -> float | None:
-    """Returns the milliseconds of a deadline; None when it is invalid."""
+    """Returns the deadline in milliseconds; None when it is invalid.
+
+    Without a value the deadline is infinite.
+    """
     if value is None:
         return float("inf")
     try:
@@ -243,18 +261,18 @@
     return number if 0 <= number < float("inf") else None
 
 
-def own_answer(code: str, *, retry_after_ms: float) -> tuple[bytes, bytes]:
-    """Returns header lines and body of an answer of the node's own."""
+def local_answer(code: str, *, retry_after_ms: float) -> tuple[bytes, bytes]:
+    """Returns header lines and body of an answer that the node generates."""
     head = b"Content-Type: text/plain\r\n"
     if retry_after_ms:
         head += b"Retry-After: %.3f\r\n" % (retry_after_ms / 1_000)
     return head, code.encode() + b"\n"
 
 
-def spread(milliseconds: float, rng: random.Random) -> float:
-    """Returns a time drawn around a given one.
+def jitter(milliseconds: float, rng: random.Random) -> float:
+    """Returns a time drawn evenly from 75 to 125 % of a given one.
 
-    Callers that were refused in one moment would otherwise all come back in
-    one moment.
+    Without jitter, callers that were refused at the same time would all retry
+    at the same time.
     """
     return milliseconds * (0.75 + 0.5 * rng.random())
--- a/src/currantcart/proxy/requests/local_reply.py
+++ b/src/currantcart/proxy/requests/local_reply.py
@@ -1,4 +1,4 @@
-"""How the own guard tells the end of a request that its node routed to it."""
+"""Results of attempts at the local guard, passed on to the router."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from currantcart.proxy.requests import call as call_module
 
 
-class Endings(Protocol):
-    """Takes the end of an attempt."""
+class AttemptHandler(Protocol):
+    """Handles the result of an attempt."""
 
     def answered(
         self, call: call_module.Call, status: int, head: bytes, body: bytes
     ) -> None:
-        """Takes the target's whole answer."""
+        """Handles the target's complete answer."""
 
     def refused(
         self,
@@ -23,30 +23,34 @@
         at_target: bool,
         retry_after_ms: float,
     ) -> None:
-        """Takes that the request did not run and never will."""
+        """Handles a refusal: the request did not run and never will."""
 
     def lost(self, call: call_module.Call, code: str) -> None:
-        """Takes that the outcome is unknown."""
+        """Handles a lost attempt, whose outcome is unknown."""
 
 
 class LocalReply:
-    """Takes the end of a request at the own guard."""
+    """Passes on the result of a request at the local guard.
 
-    def __init__(self, endings: Endings, call: call_module.Call) -> None:
-        self.endings = endings
+    Results of an attempt that is no longer the request's current one are
+    ignored.
+    """
+
+    def __init__(self, handler: AttemptHandler, call: call_module.Call) -> None:
+        self.handler = handler
         self.call = call
 
     def answered(self, status: int, head: bytes, body: bytes) -> None:
-        """Takes the target's whole answer."""
-        if self.call.local is self:
-            self.endings.answered(self.call, status, head, body)
+        """Handles the target's complete answer."""
+        if self.call.local_reply is self:
+            self.handler.answered(self.call, status, head, body)
 
     def refused(
         self, code: str, *, at_target: bool, retry_after_ms: float
     ) -> None:
-        """Takes that the request did not run and never will."""
-        if self.call.local is self:
-            self.endings.refused(
+        """Handles a refusal: the request did not run and never will."""
+        if self.call.local_reply is self:
+            self.handler.refused(
                 self.call,
                 code,
                 at_target=at_target,
@@ -54,6 +58,6 @@
             )
 
     def lost(self, code: str) -> None:
-        """Takes that the outcome is unknown."""
-        if self.call.local is self:
-            self.endings.lost(self.call, code)
+        """Handles a lost attempt, whose outcome is unknown."""
+        if self.call.local_reply is self:
+            self.handler.lost(self.call, code)
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -1,4 +1,4 @@
-"""A request from its caller to a target and back, seen from its first node."""
+"""Routes requests from the node that received them to a target and back."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from currantcart.workspace import quota
 
 GUARDS_MAX = 3
-"""Guards that may refuse a request before its caller is told."""
+"""Number of guards that may refuse a request before it fails."""
 UNREADY_RETRY_MS = 400.0
 
 
 class Outbound:
-    """Routes the requests of this node's callers.
+    """Routes the requests of this node's callers to targets.
 
     Attributes:
-      calls: Requests on their way.
-      edge: Sheds requests for which there is no room below.
-      attempts: Hands requests to guards.
-      parking: Those that wait for a target to become known.
-      repeats: Decides which are handed to a second target.
+      calls: Requests that have not ended.
+      edge: Sheds root requests when services further down are saturated.
+      attempts: Sends requests to guards.
+      pending: Requests that wait until a target is known.
+      repeats: Decides which requests are retried.
     """
 
     def __init__(
@@ -50,33 +50,38 @@
             rng=context.rng,
         )
         self.calls: set[call_module.Call] = set()
-        self.edge = edge.Edge(context, pressure_on=self.pressure_on)
+        self.edge = edge.IngressShedder(context, pressure_on=self.pressure_on)
         self.attempts = attempts.Attempts(
             context, own_guard=own_guard, outcomes=self
         )
-        self.parking = parking.Parking(context, try_again=self.dispatch)
-        self.repeats = repeats_module.Repeats(
+        self.pending = parking.PendingRequests(context, dispatch=self.dispatch)
+        self.repeats = repeats_module.Retries(
             context, node_count=self.node_count
         )
 
     def node_count(self) -> int:
         """Returns how many nodes are known, this one included.
 
-        0 before the store has named them.
+        Returns 0 until the store has named them.
         """
         assert self.peers is not None
         if not self.peers.named:
             return 0
         return len(self.peers.by_instance) + 1
 
-    # Taking a request.
+    # Arrival.
 
     def begin(
         self,
         request: intake.Request,
         answer: Callable[[int, bytes, bytes], None],
     ) -> call_module.Call | None:
-        """Takes a whole request; returns None if it was answered at once."""
+        """Routes a complete request; returns None if it has already ended.
+
+        Args:
+          request: The request.
+          answer: Receives status, head and body of the final answer.
+        """
         now = self.context.now
         route = request.route
         service = route.pick_service(self.context.rng)
@@ -88,13 +93,13 @@
         if call.expires_at - now < guard.LATE_MS:
             self.finish(call, 504, "deadline_exceeded")
             return None
-        self.place_in_chain(call)
+        self.set_lineage(call)
         if request.internal:
-            self.edge.note_called(service)
+            self.edge.record_called(service)
         elif by := self.edge.shed_by(call):
             self.reject(call, f"shed_for_{by}")
             return None
-        if not self.repeats.begin(call):
+        if not self.repeats.admit(call):
             self.reject(call, "retry_budget_exhausted")
             return None
         call.timer = self.context.loop.call_later(
@@ -103,8 +108,8 @@
         self.dispatch(call)
         return None if call.done else call
 
-    def place_in_chain(self, call: call_module.Call) -> None:
-        """Finds what a request has of the one at which its chain began."""
+    def set_lineage(self, call: call_module.Call) -> None:
+        """Sets what a request inherits from the root of its call chain."""
         request = call.request
         if not request.internal:
             call.lineage = lineage.Lineage(rank=request.priority)
@@ -113,14 +118,14 @@
         request.priority = slots.call_priority(call.lineage.rank)
 
     def pressure_on(self, service: str) -> pressure.Pressure:
-        """Returns how full a service and those below it are."""
+        """Returns the pressure on a service and on those that it calls."""
         assert self.peers is not None
         return self.peers.reachability.pressure_on(service)
 
     # Attempts.
 
     def dispatch(self, call: call_module.Call) -> None:
-        """Hands a request to the best target, or ends it."""
+        """Sends a request to the best target, holds it, or ends it."""
         assert self.peers is not None
         now = self.context.now
         if call.service == self.peers.own.service:
@@ -129,43 +134,43 @@
         chosen = self.picker.choose(
             targets,
             now=now,
-            passed_over=call.passed_over,
+            passed_over=call.tried_instances,
             objective_ms=call.request.route.objective_ms,
         )
         if chosen is None:
-            if not self.parking.hold(call):
+            if not self.pending.hold(call):
                 self.give_up(call)
             return
         self.attempts.begin(call, chosen)
         if chosen is self.peers.own:
-            self.attempts.hand_to_own(call, now)
+            self.attempts.hand_to_local(call, now)
             return
         found = self.peers.link_to(chosen.instance)
         if found is None:
-            # Its stream has gone silent since the list was made.
-            self.attempts.step(call, attempt.Event.LOSE)
-            self.attempts.leave(call, failed=False)
+            # Its stream became silent after the candidates were listed.
+            self.attempts.apply_event(call, attempt.Event.LOSE)
+            self.attempts.end_attempt(call, failed=False)
             self.dispatch(call)
             return
         self.attempts.hand_to_peer(call, found, now)
 
     def refresh_own(self) -> None:
-        """Takes the own target's present state, as peers are told theirs."""
+        """Updates the local target's routing state from the local guard."""
         assert self.peers is not None
         self.peers.take_target(self.peers.own, self.guard.state())
 
-    # What comes back.
+    # Results.
 
     def answered(
         self, call: call_module.Call, status: int, head: bytes, body: bytes
     ) -> None:
-        """Passes a target's answer on."""
+        """Ends a request with its target's answer."""
         failed = status >= status_module.SERVER_ERROR
-        self.attempts.step(call, attempt.Event.ANSWER)
+        self.attempts.apply_event(call, attempt.Event.ANSWER)
         endings.count_end(self.context, call, f"{status // 100}xx")
-        self.attempts.leave(call, failed=failed)
-        self.end(call)
-        self.edge.note_end(call, failed=failed)
+        self.attempts.end_attempt(call, failed=failed)
+        self.remove(call)
+        self.edge.record_end(call, failed=failed)
         if failed:
             self.log_end(call, "target_failed", status)
         else:
@@ -180,41 +185,59 @@
         at_target: bool,
         retry_after_ms: float,
     ) -> None:
-        """Tries elsewhere what did not run, or says so."""
+        """Handles a refusal: the request did not run and never will.
+
+        Refused by a guard, it is sent to another one, up to `GUARDS_MAX`;
+        refused by a target, it needs a retry.
+
+        Args:
+          call: The request.
+          code: Why it was refused.
+          at_target: Whether the target itself refused it.
+          retry_after_ms: When a retry may succeed; 0 when it isn't known.
+        """
         self.context.counts.add("attempts", call.service, code)
-        self.attempts.step(call, attempt.Event.REFUSE)
-        self.attempts.leave(call, failed=at_target)
+        self.attempts.apply_event(call, attempt.Event.REFUSE)
+        self.attempts.end_attempt(call, failed=at_target)
         call.last_code = code
         call.retry_after_ms = max(call.retry_after_ms, retry_after_ms)
         if at_target:
-            self.again(call)
+            self.retry(call)
             return
-        call.guards += 1
-        if call.guards < GUARDS_MAX:
+        call.refusing_guards += 1
+        if call.refusing_guards < GUARDS_MAX:
             self.dispatch(call)
         else:
             self.give_up(call)
 
     def lost(self, call: call_module.Call, code: str) -> None:
-        """Tries again what may run twice, or says that it may have run."""
+        """Handles an attempt that may have run, without an answer.
+
+        An idempotent request may be retried. For any other the caller learns
+        that the outcome is unknown.
+        """
         self.context.counts.add("attempts", call.service, code)
-        self.attempts.step(call, attempt.Event.LOSE)
-        self.attempts.leave(call, failed=True)
+        self.attempts.apply_event(call, attempt.Event.LOSE)
+        self.attempts.end_attempt(call, failed=True)
         call.last_code = code
-        self.again(call)
+        self.retry(call)
 
-    def again(self, call: call_module.Call) -> None:
-        """Hands a request to a second target, if budget and route allow."""
+    def retry(self, call: call_module.Call) -> None:
+        """Sends a request to another target, if route and budget allow."""
         call.handed_to_targets += 1
-        if self.repeats.take(call):
+        if self.repeats.take_retry(call):
             self.dispatch(call)
         else:
             self.give_up(call)
 
-    # Ends.
+    # Ending.
 
     def give_up(self, call: call_module.Call) -> None:
-        """Gives the final answer to a request that no target answered."""
+        """Ends a request without an answer of a target with 503 or 502.
+
+        503 means that it did not run or may run again, 502 that its outcome is
+        unknown.
+        """
         final = attempt.final_answer(
             call.outcomes, idempotent=call.request.route.idempotent
         )
@@ -225,23 +248,27 @@
             self.finish(call, 502, call.last_code)
 
     def reject(self, call: call_module.Call, code: str) -> None:
-        """Ends a request that was sent to no target, to come back later."""
+        """Rejects a request before any attempt, with a Retry-After."""
         after = returns.return_after_ms(
             objective_ms=call.request.route.objective_ms
         )
-        call.retry_after_ms = intake.spread(after, self.context.rng)
+        call.retry_after_ms = intake.jitter(after, self.context.rng)
         self.finish(call, 503, code)
 
     def expire(self, call: call_module.Call) -> None:
-        """Ends a request whose time is over."""
+        """Ends a request whose deadline has passed."""
         if not call.done:
-            self.attempts.withdraw(call)
+            self.attempts.cancel(call)
             self.finish(call, 504, "deadline_exceeded")
 
     def finish(self, call: call_module.Call, status: int, code: str) -> None:
-        """Answers a request on the node's own account."""
+        """Ends a request with an answer that the node generates.
+
+        A request that did not run returns its token of the workspace's rate
+        limit.
+        """
         endings.count_end(self.context, call, code)
-        self.end(call)
+        self.remove(call)
         self.log_end(call, code, status)
         not_run = all(
             item is attempt.Outcome.NOT_EXECUTED for item in call.outcomes
@@ -249,19 +276,19 @@
         if not_run and call.request.workspace:
             self.quotas.give_back(call.request.workspace)
         after = call.retry_after_ms if status == 503 else 0.0
-        head, body = intake.own_answer(code, retry_after_ms=after)
+        head, body = intake.local_answer(code, retry_after_ms=after)
         call.answer(status, head, body)
 
     def log_end(self, call: call_module.Call, code: str, status: int) -> None:
-        """Logs a request that did not end well, with what was known."""
+        """Logs a request that failed, with the targets that were known."""
         assert self.peers is not None
         known = self.peers.by_service.get(call.service, [])
         endings.log_end(
             self.context, call, code=code, status=status, known=known
         )
 
-    def end(self, call: call_module.Call) -> None:
-        """Takes a request off the books."""
+    def remove(self, call: call_module.Call) -> None:
+        """Marks a request as done, and removes it with its timer."""
         call.done = True
         self.calls.discard(call)
         if call.timer is not None:
@@ -269,9 +296,9 @@
             call.timer = None
 
     def cancel(self, call: call_module.Call) -> None:
-        """Ends a request whose caller has left."""
+        """Cancels a request whose caller has disconnected."""
         if not call.done:
             endings.count_end(self.context, call, "caller_left")
             endings.log_left(self.context, call)
-            self.attempts.withdraw(call)
-            self.end(call)
+            self.attempts.cancel(call)
+            self.remove(call)
--- a/src/currantcart/proxy/requests/parking.py
+++ b/src/currantcart/proxy/requests/parking.py
@@ -10,46 +10,49 @@
 
 SWEEP_SECONDS = 0.03
 WAIT_OF_OBJECTIVE = 0.125
-"""Part of the objective for which a request waits while no target is known.
+"""Share of the objective for which a request waits while no target is known.
 
-After a restart or a cut, targets come back within a heartbeat; asking the
-caller to come back costs it more than that.
+After a restart or a network partition, targets are known again within a
+heartbeat. A refusal with Retry-After would cost the caller more time than that.
 """
 
 
-class Parking:
-    """Holds requests for a moment, and has them tried again.
+class PendingRequests:
+    """Holds requests for a short time, then dispatches them again.
 
     Attributes:
-      parked: Those that wait.
+      pending: The requests that wait.
     """
 
     def __init__(
         self,
         context: proxy_context.Context,
         *,
-        try_again: Callable[[call_module.Call], None],
+        dispatch: Callable[[call_module.Call], None],
     ) -> None:
         self.context = context
-        self.try_again = try_again
-        self.parked: list[call_module.Call] = []
+        self.dispatch = dispatch
+        self.pending: list[call_module.Call] = []
         self.timer: asyncio.TimerHandle | None = None
 
     def hold(self, call: call_module.Call) -> bool:
-        """Holds a request that no guard has seen yet, if it may still wait."""
+        """Holds a request without attempts; returns whether it is held.
+
+        A request is held no longer than `WAIT_OF_OBJECTIVE` allows.
+        """
         waited = self.context.now - call.started_at
         allowed = call.request.route.objective_ms * WAIT_OF_OBJECTIVE
         if call.outcomes or waited >= allowed:
             return False
-        self.parked.append(call)
+        self.pending.append(call)
         if self.timer is None:
             self.timer = self.context.loop.call_later(SWEEP_SECONDS, self.sweep)
         return True
 
     def sweep(self) -> None:
-        """Tries the requests that wait again."""
+        """Dispatches the pending requests again."""
         self.timer = None
-        parked, self.parked = self.parked, []
-        for call in parked:
+        pending, self.pending = self.pending, []
+        for call in pending:
             if not call.done:
-                self.try_again(call)
+                self.dispatch(call)
--- a/src/currantcart/proxy/requests/repeats.py
+++ b/src/currantcart/proxy/requests/repeats.py
@@ -1,4 +1,4 @@
-"""Which requests are handed to a second target."""
+"""Decides which requests are retried, within the retry budgets."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from currantcart.proxy.requests import call as call_module
 from currantcart.proxy.targets import guard
 
-CALLED_BY_REPEAT = "called_by_repeat"
-"""Cause of a repeat that a further run of the request above made."""
+CALLED_BY_RETRY = "called_by_repeat"
+"""Cause of a call made by a retried run of the request above it."""
 
 
-class Repeats:
+class Retries:
     """The retry budgets of one node.
 
     Attributes:
       budgets: Retry budgets by service.
-      fixed_part: This node's part of the repeats beyond the ratio.
+      fixed_part: This node's share of the fixed number of retries that the
+        fleet may send beyond the ratio.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
 
     @property
     def window_ms(self) -> float:
-        """Length of the window in which repeats are counted."""
+        """Length of the window in which retries are counted."""
         bounds = self.context.settings.bounds
         return bounds.retry_window_seconds * clock.MS_PER_SECOND
 
@@ -50,31 +51,31 @@
         return found
 
     def use_bounds(self, bounds: proxy_settings.Bounds) -> None:
-        """Takes changed bounds; what was sent goes on counting."""
+        """Applies changed bounds; retries already sent still count."""
         if self.window_ms != self.fixed_part.window_ms:
-            # Counts of another window can't be kept; as after a start, what
-            # they held is taken as used up.
+            # Counts of a window of another length can't be converted. As
+            # after a start, the budgets that they held count as used up.
             self.budgets.clear()
             self.fixed_part = self.new_fixed_part()
         for kept in self.budgets.values():
             kept.ratio, kept.slack = bounds.retry_ratio, bounds.retry_slack
 
     def new_fixed_part(self) -> fixed_part.FixedPart:
-        """Returns the part of a process that starts to count now."""
+        """Returns the share of a process that starts counting now."""
         return fixed_part.FixedPart(
             window_ms=self.window_ms, started_at=self.context.now
         )
 
     def note_fleet(self) -> None:
-        """Takes how many nodes are known; to be called at a steady pace."""
+        """Records the number of known nodes; called at regular intervals."""
         self.fixed_part.note(self.node_count(), self.context.now)
 
     def share(self) -> float:
-        """Returns this node's part of the fixed number of repeats."""
+        """Returns this node's share of the fixed number of retries, 0 to 1."""
         return self.fixed_part.share(self.context.now)
 
     def standings(self) -> dict[str, budget.Standing]:
-        """Returns what each service's budget holds now."""
+        """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
             service: kept.standing(now, share=share)
@@ -87,7 +88,10 @@
         return since / clock.MS_PER_SECOND
 
     def gauges(self) -> dict[str, Callable[[], dict[str, float]]]:
-        """Returns what is read of the budgets by metric and service."""
+        """Returns the gauges of the budgets, by metric name.
+
+        Each reads one value by service.
+        """
 
         def each(
             value: Callable[[budget.Standing], float],
@@ -104,37 +108,42 @@
             "retry_budget_share": each(lambda _: self.share()),
         }
 
-    def begin(self, call: call_module.Call) -> bool:
+    def admit(self, call: call_module.Call) -> bool:
         """Counts a new request; returns whether it may be sent at all.
 
-        A call that a further run makes is a repeat itself, and is sent only
-        if the budget of its service has one.
+        A call made by a retried request counts as a retry itself, and is sent
+        only if the retry budget of its service allows it.
         """
         if call.lineage.repeated:
-            return self.take_from_budget(call, CALLED_BY_REPEAT)
+            return self.spend_budget(call, CALLED_BY_RETRY)
         self.budget_of(call.service).note_request(self.context.now)
         self.context.counts.add("budgeted_requests", call.service)
         return True
 
-    def take(self, call: call_module.Call) -> bool:
-        """Takes a repeat for a request, if route, time and budget allow."""
+    def take_retry(self, call: call_module.Call) -> bool:
+        """Spends a retry on a request, if route, deadline and budget allow."""
         route, now = call.request.route, self.context.now
         allowed = (
             attempt.may_retry(call.outcomes[-1], idempotent=route.idempotent)
             and call.handed_to_targets < route.attempts_max
             and call.expires_at - now > guard.LATE_MS * 2
         )
-        return allowed and self.take_from_budget(call, call.last_code)
+        return allowed and self.spend_budget(call, call.last_code)
 
-    def take_from_budget(self, call: call_module.Call, cause: str) -> bool:
-        """Takes a repeat out of the budget of a request's service."""
+    def spend_budget(self, call: call_module.Call, cause: str) -> bool:
+        """Spends a retry from the budget of a request's service, if any left.
+
+        Args:
+          call: The request.
+          cause: Why it is a retry, for metrics and log.
+        """
         kept, share = self.budget_of(call.service), self.share()
         standing = kept.standing(self.context.now, share=share)
         taken = kept.spend(self.context.now, left=standing.left)
         name = "repeats" if taken else "repeats_refused"
         self.context.counts.add(name, call.service, cause)
-        is_call = cause == CALLED_BY_REPEAT
-        sent = CALLED_BY_REPEAT if is_call else "tried_again"
+        is_call = cause == CALLED_BY_RETRY
+        sent = CALLED_BY_RETRY if is_call else "tried_again"
         self.context.log.event(
             sent if taken else "repeat_refused",
             id=call.request.request_id,
