--- a/src/currantcart/proxy/callers/__init__.py
+++ b/src/currantcart/proxy/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of callers: requests read, answers written in order."""
+"""Connections of callers: reads requests, writes answers in order."""
--- a/src/currantcart/proxy/callers/caller.py
+++ b/src/currantcart/proxy/callers/caller.py
@@ -1,4 +1,4 @@
-"""One caller's connection: pipelining, answers in order, its end."""
+"""One caller's connection: pipelining, answers in order, closing."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 
 
 class CallerOwner(Protocol):
-    """What holds the connections of all callers."""
+    """Owner of the connections of all callers."""
 
     context: proxy_context.Context
 
     @property
     def limits(self) -> catalog_model.CallerLimits:
-        """What a caller may send now."""
+        """Current limits on what a caller may send."""
 
     def opened(self, connection: CallerConnection) -> None:
-        """Takes a new connection."""
+        """Registers a new connection."""
 
     def closed(self, connection: CallerConnection) -> None:
-        """Takes the end of a connection."""
+        """Removes a connection that has ended."""
 
     def became_busy(self, connection: CallerConnection) -> None:
-        """Takes that a connection has a request."""
+        """Marks a connection as busy: it has a request."""
 
     def became_idle(self, connection: CallerConnection) -> None:
-        """Takes that nothing runs on a connection."""
+        """Marks a connection as idle: it has no request."""
 
     def is_last_answer(self, code: int) -> bool:
-        """Tells whether a connection is closed behind an answer."""
+        """Returns whether a connection is closed after an answer."""
 
     def hold(self, size: int) -> bool:
-        """Counts bytes that are held, if there is room for them."""
+        """Reserves memory for bytes; returns whether there is room."""
 
     def release(self, size: int) -> None:
-        """Counts bytes that are no longer held."""
+        """Releases reserved memory."""
 
     def route(self, exchange: exchange_module.Exchange) -> None:
-        """Checks a whole request and sends it on its way."""
+        """Checks a complete request, and routes or rejects it."""
 
     def cancel(self, call: call_module.Call) -> None:
-        """Ends a request whose caller has left."""
+        """Cancels a request whose caller has disconnected."""
 
 
 class CallerConnection(asyncio.Protocol):
@@ -60,8 +60,11 @@
 
     Attributes:
       exchanges: Requests that were not answered yet, the oldest first.
-      reader: Parses what the caller sends.
-      active_at: When something last came or went.
+      reader: Parses the received bytes.
+      active_at: When bytes were last received or answers written.
+      paused: Whether reading is paused.
+      write_paused: Whether the write buffer is full.
+      closing: Whether the connection is closing, and reads no more.
     """
 
     def __init__(self, owner: CallerOwner) -> None:
@@ -74,8 +77,8 @@
             owner.context,
             limits=lambda: owner.limits,
             hold=owner.hold,
-            begin=lambda: exchange_module.Exchange(self),
-            take_head=self.take_head,
+            new_exchange=lambda: exchange_module.Exchange(self),
+            add_exchange=self.add_exchange,
             send_continue=lambda: self.write(CONTINUE),
         )
         self.transport: asyncio.Transport | None = None
@@ -85,50 +88,55 @@
         self.closing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Registers the connection with its owner."""
+        # uvloop's transports are not subclasses of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=256 * 1024)
         self.owner.opened(self)
 
     @property
     def open(self) -> bool:
-        """Whether anything can be written; uvloop raises where it can't."""
+        """Whether the connection can be written to; uvloop raises if not."""
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, data: bytes) -> None:
-        """Writes bytes, while the connection stands."""
+        """Writes bytes unless the connection has ended."""
         stream.write(self.transport, data)
 
     # Reading.
 
     def data_received(self, data: bytes) -> None:
-        """Takes what arrives."""
+        """Parses received bytes, and starts the requests that may start."""
         if self.closing:
             return
         self.active_at = self.context.now
         try:
             self.reader.feed(data)
-        except request_reader.Unreadable as error:
+        except request_reader.ParseError as error:
             self.context.log.event(
                 "request_unreadable", code=error.code, detail=error.detail
             )
             self.reject_connection(error.status, error.code)
         self.start_exchanges()
 
-    def take_head(self, exchange: exchange_module.Exchange) -> None:
-        """Takes a request whose head is here."""
+    def add_exchange(self, exchange: exchange_module.Exchange) -> None:
+        """Adds a request whose head is complete."""
         self.exchanges.append(exchange)
         self.owner.became_busy(self)
 
     def reject_connection(self, status: int, code: str) -> None:
-        """Answers what can't be read, and closes the connection behind it."""
+        """Rejects an unreadable request, and closes after the answer.
+
+        Args:
+          status: HTTP status of the answer.
+          code: Error code of the answer.
+        """
         exchange = self.reader.reading
         self.reader.reading = None
         if exchange is None or exchange not in self.exchanges:
             exchange = exchange_module.Exchange(self)
             self.exchanges.append(exchange)
-        exchange.whole = True
+        exchange.complete = True
         exchange.close = True
         exchange.rejection = intake.Rejection(status, code)
         if self.open and not self.paused:
@@ -136,8 +144,8 @@
             self.transport.pause_reading()
             self.paused = True
 
-    def pace_reading(self) -> None:
-        """Reads no further while much is held for this caller."""
+    def apply_backpressure(self) -> None:
+        """Pauses reading while too many requests or answers are queued."""
         held = len(self.exchanges) >= PIPELINED_MAX or self.write_paused
         if not self.open or held == self.paused:
             return
@@ -153,27 +161,27 @@
     def start_exchanges(self) -> None:
         """Starts the requests that may start, in order.
 
-        A request that must not repeat waits until all before it on the
-        connection are answered: were one of those to close the connection,
-        the caller would send it again.
+        A request that isn't idempotent waits until all before it on the
+        connection are answered: if one of those closed the connection, the
+        caller would send the request again.
         """
-        for place, exchange in enumerate(list(self.exchanges)):
-            if not exchange.whole:
+        for position, exchange in enumerate(list(self.exchanges)):
+            if not exchange.complete:
                 break
             if exchange.started:
                 if exchange.close:
                     break
                 continue
-            if place and not self.may_start_early(exchange):
+            if position and not self.may_start_early(exchange):
                 break
             exchange.started = True
             self.owner.route(exchange)
             if exchange.close:
                 break
-        self.pace_reading()
+        self.apply_backpressure()
 
     def may_start_early(self, exchange: exchange_module.Exchange) -> bool:
-        """Whether a request may run beside those before it."""
+        """Returns whether a request may run along with those before it."""
         catalog = self.context.catalog
         if catalog is None or exchange.rejection is not None:
             return False
@@ -183,11 +191,11 @@
     # Answering.
 
     def is_last_answer(self, code: int) -> bool:
-        """Tells whether the connection is closed behind an answer."""
+        """Returns whether the connection is closed after an answer."""
         return self.owner.is_last_answer(code)
 
     def write_answers(self) -> None:
-        """Writes the answers whose turn it is."""
+        """Writes the answers that are next in order."""
         written: list[bytes] = []
         while self.exchanges and (answer := self.exchanges[0].answer):
             exchange = self.exchanges.popleft()
@@ -202,7 +210,7 @@
         self.active_at = self.context.now
         self.write(b"".join(written))
         if self.closing:
-            self.drop_exchanges()
+            self.cancel_exchanges()
             self.transport.close()
         else:
             if not self.exchanges:
@@ -210,19 +218,19 @@
             self.context.loop.call_soon(self.start_exchanges)
 
     def pause_writing(self) -> None:
-        """Stops reading while the caller doesn't read."""
+        """Pauses reading while the caller does not read its answers."""
         self.write_paused = True
-        self.pace_reading()
+        self.apply_backpressure()
 
     def resume_writing(self) -> None:
-        """Reads again."""
+        """Resumes reading, if nothing else pauses it."""
         self.write_paused = False
-        self.pace_reading()
+        self.apply_backpressure()
 
-    # Ending.
+    # Closing.
 
-    def drop_exchanges(self) -> None:
-        """Cancels what runs for this connection."""
+    def cancel_exchanges(self) -> None:
+        """Cancels the open requests, and releases their memory."""
         exchanges, self.exchanges = self.exchanges, collections.deque()
         for exchange in exchanges:
             self.owner.release(exchange.size)
@@ -231,22 +239,22 @@
                 exchange.call = None
 
     def end(self) -> None:
-        """Cancels what runs for this connection, and closes it."""
+        """Cancels the requests of this connection, and closes it."""
         self.closing = True
-        self.drop_exchanges()
+        self.cancel_exchanges()
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels what runs for a caller that has left."""
+        """Cancels the requests of a caller that has disconnected."""
         del exc
         self.transport = None
         self.closing = True
         self.owner.closed(self)
-        self.drop_exchanges()
+        self.cancel_exchanges()
 
     def check(self, now: float) -> None:
-        """Closes a connection that is idle, or sends its head too slowly."""
+        """Closes the connection if it is idle or sends a head too slowly."""
         limits = self.owner.limits
         if self.transport is None:
             return
@@ -260,5 +268,6 @@
         elif now - self.active_at > limits.idle_ms and (
             self.reader.reading is not None or not self.exchanges
         ):
-            # Idle, or stalled within a body: its bytes are held until it ends.
+            # Idle, or stalled within a body, whose bytes stay in memory until
+            # the connection ends.
             self.transport.close()
--- a/src/currantcart/proxy/callers/exchange.py
+++ b/src/currantcart/proxy/callers/exchange.py
@@ -10,13 +10,17 @@
 
 
 class AnswerWriter(Protocol):
-    """The connection that an exchange belongs to."""
+    """Connection that writes the answers of its exchanges."""
 
     def is_last_answer(self, code: int) -> bool:
-        """Tells whether the connection is closed behind an answer."""
+        """Returns whether the connection is closed after an answer.
+
+        Args:
+          code: HTTP status of the answer.
+        """
 
     def write_answers(self) -> None:
-        """Writes the answers whose turn it is."""
+        """Writes the answers that are next in order."""
 
 
 class Exchange:
@@ -24,27 +28,27 @@
 
     Attributes:
       head: Head as parsed.
-      rejection: Why the request goes nowhere; None when nothing speaks
-        against it.
-      parts: Its body as it came.
-      size: Bytes of its body.
-      whole: Whether the whole request was read.
-      call: The request on its way.
-      answer: The answer's bytes, while they wait for their turn.
+      rejection: Why the request is not routed; None when it may be.
+      parts: Parts of its body, in order.
+      size: Bytes of its body received so far.
+      complete: Whether the complete request was read.
+      call: The routed request; None before routing and after its answer.
+      answer: The answer's bytes, until they are written in order.
       started: Whether routing has begun.
-      close: Whether the connection is closed behind the answer.
+      close: Whether the connection is closed after the answer.
+      writer: The connection.
     """
 
     __slots__ = (
         "answer",
         "call",
         "close",
+        "complete",
         "head",
         "parts",
         "rejection",
         "size",
         "started",
-        "whole",
         "writer",
     )
 
@@ -54,14 +58,20 @@
         self.rejection: intake.Rejection | None = None
         self.parts: list[bytes] = []
         self.size = 0
-        self.whole = False
+        self.complete = False
         self.call: call_module.Call | None = None
         self.answer: bytes | None = None
         self.started = False
         self.close = False
 
-    def take_answer(self, code: int, head: bytes, body: bytes) -> None:
-        """Takes the answer, to be written when it is its turn."""
+    def set_answer(self, code: int, head: bytes, body: bytes) -> None:
+        """Sets the answer, which is written in the order of the requests.
+
+        Args:
+          code: HTTP status.
+          head: Header lines, each ending with CR LF.
+          body: Body.
+        """
         self.call = None
         if self.writer.is_last_answer(code):
             self.close = True
--- a/src/currantcart/proxy/callers/frontend.py
+++ b/src/currantcart/proxy/callers/frontend.py
@@ -1,4 +1,4 @@
-"""All connections of callers, and what is held for them."""
+"""All connections of callers, and the memory reserved for them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
     """All connections of callers.
 
     Attributes:
-      connections: Those that are open.
-      idle: Those on which nothing runs, the longest idle first.
-      bound: How many may be open.
-      held_bytes: Bytes of bodies that are held.
+      connections: Open connections.
+      idle: Connections without a request, the longest idle first.
+      bound: Limit on the number of open connections.
+      saturated: Whether there are so many that idle ones are closed.
+      held_bytes: Bytes of request bodies in memory.
     """
 
     HELD_BYTES_MAX = 96 * 1024 * 1024
@@ -43,12 +44,12 @@
                 descriptors=context.settings.descriptors, peers=0, slots=0
             )
         )
-        self.crowded = False
+        self.saturated = False
         self.held_bytes = 0
 
     @property
     def limits(self) -> catalog_model.CallerLimits:
-        """Limits of the configuration in force."""
+        """Limits of the current configuration."""
         catalog = self.context.catalog
         return catalog.limits if catalog else DEFAULT_LIMITS
 
@@ -57,54 +58,54 @@
         return caller.CallerConnection(self)
 
     def opened(self, connection: caller.CallerConnection) -> None:
-        """Takes a new connection, at the cost of another where none is left.
+        """Registers a new connection; evicts an idle one above the limit.
 
-        Without a free descriptor nothing could be accepted, and the target
-        and the store could not be reached either.
+        Without a free descriptor no connection could be accepted, and neither
+        the target nor the store could be reached.
         """
         self.connections.add(connection)
         self.idle[connection] = None
         if self.bound.is_full(len(self.connections)):
-            self.let_go(next(iter(self.idle)), "full")
+            self.evict(next(iter(self.idle)), "full")
 
-    def let_go(self, connection: caller.CallerConnection, cause: str) -> None:
-        """Closes an idle connection for the sake of others."""
+    def evict(self, connection: caller.CallerConnection, cause: str) -> None:
+        """Closes an idle connection to make room for others."""
         self.context.counts.add("callers_closed", cause)
         self.closed(connection)
         connection.end()
 
     def closed(self, connection: caller.CallerConnection) -> None:
-        """Takes the end of a connection."""
+        """Removes a connection that has ended."""
         self.connections.discard(connection)
         self.idle.pop(connection, None)
 
     def became_busy(self, connection: caller.CallerConnection) -> None:
-        """Takes that a connection has a request."""
+        """Marks a connection as busy: it has a request."""
         self.idle.pop(connection, None)
 
     def became_idle(self, connection: caller.CallerConnection) -> None:
-        """Takes that nothing runs on a connection."""
+        """Marks a connection as idle: it has no request."""
         self.idle[connection] = None
 
     def is_last_answer(self, code: int) -> bool:
-        """Tells whether a connection is closed behind an answer."""
+        """Returns whether a connection is closed after an answer."""
         return self.context.draining or self.bound.closes_after(
             opened=len(self.connections), failed=code >= status.NO_SUCCESS
         )
 
     def hold(self, size: int) -> bool:
-        """Counts bytes that are held, if there is room for them."""
+        """Reserves memory for bytes; returns whether there is room."""
         if self.held_bytes + size > self.HELD_BYTES_MAX:
             return False
         self.held_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Counts bytes that are no longer held."""
+        """Releases reserved memory."""
         self.held_bytes = max(0, self.held_bytes - size)
 
     def route(self, exchange: exchange_module.Exchange) -> None:
-        """Checks a whole request and sends it on its way."""
+        """Checks a complete request, and routes or rejects it."""
         checked: intake.Request | intake.Rejection
         if exchange.rejection is not None:
             checked = exchange.rejection
@@ -120,16 +121,16 @@
             self.reject(exchange, checked)
             return
         checked.body = b"".join(exchange.parts)
-        exchange.call = self.outbound.begin(checked, exchange.take_answer)
+        exchange.call = self.outbound.begin(checked, exchange.set_answer)
 
     def cancel(self, call: call_module.Call) -> None:
-        """Ends a request whose caller has left."""
+        """Cancels a request whose caller has disconnected."""
         self.outbound.cancel(call)
 
     def reject(
         self, exchange: exchange_module.Exchange, rejection: intake.Rejection
     ) -> None:
-        """Answers a request that goes nowhere."""
+        """Answers a request that is not routed."""
         self.context.counts.add("rejections", rejection.code)
         self.context.log.event(
             "request_rejected",
@@ -150,7 +151,7 @@
             rejection.code,
             retry_after_ms=intake.jitter(after, self.context.rng),
         )
-        exchange.take_answer(rejection.status, head, body)
+        exchange.set_answer(rejection.status, head, body)
 
     def route_name(self, head: intake.RequestHead) -> str:
         """Returns the name of a request's route; empty if it has none."""
@@ -161,17 +162,17 @@
         return found.name if found is not None else ""
 
     def sweep(self) -> None:
-        """Closes connections that are idle or too slow."""
+        """Closes connections that are idle, too slow or above the limit."""
         now = self.context.now
         for connection in list(self.connections):
             connection.check(now)
         self.close_surplus()
 
     def close_surplus(self) -> None:
-        """Closes the longest idle connections where there are too many."""
+        """Closes the longest idle connections while there are too many."""
         surplus = self.bound.surplus(len(self.connections))
-        if bool(surplus) != self.crowded:
-            self.crowded = bool(surplus)
+        if bool(surplus) != self.saturated:
+            self.saturated = bool(surplus)
             self.context.log.event(
                 "connections_crowded" if surplus else "connections_eased",
                 opened=len(self.connections),
@@ -179,10 +180,10 @@
                 limit=self.bound.limit,
             )
         for connection in list(itertools.islice(self.idle, surplus)):
-            self.let_go(connection, "crowded")
+            self.evict(connection, "crowded")
 
     def close_idle(self) -> None:
-        """Closes the connections on which nothing runs."""
+        """Closes the connections without a request."""
         for connection in list(self.connections):
             if not connection.exchanges and connection.transport is not None:
                 connection.transport.close()
--- a/src/currantcart/proxy/callers/request_reader.py
+++ b/src/currantcart/proxy/callers/request_reader.py
@@ -1,4 +1,4 @@
-"""Parsing of a caller's bytes into requests, with all sizes bounded."""
+"""Parses a caller's bytes into requests, with limits on all sizes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 MEMORY_RETRY_MS = 500.0
 
 
-class Unreadable(Exception):
-    """Bytes that are no request.
+class ParseError(Exception):
+    """The received bytes are not a valid request, or exceed a limit.
 
     Attributes:
-      status: HTTP status for the caller.
-      code: Why.
-      detail: What the parser says.
+      status: HTTP status of the answer.
+      code: Error code of the answer.
+      detail: Message of the parser.
     """
 
     def __init__(self, status: int, code: str, detail: str) -> None:
@@ -34,8 +34,10 @@
     """Reads the requests of one connection.
 
     Attributes:
-      reading: The request that is being read.
-      head_started_at: When its head began to come; 0 between two heads.
+      reading: The request that is being read; None between two requests.
+      head_started_at: When the first bytes of its head were received; 0
+        between two heads.
+      error_code: Why the parser was stopped; empty for its own errors.
     """
 
     def __init__(
@@ -44,25 +46,25 @@
         *,
         limits: Callable[[], catalog_model.CallerLimits],
         hold: Callable[[int], bool],
-        begin: Callable[[], exchange_module.Exchange],
-        take_head: Callable[[exchange_module.Exchange], None],
+        new_exchange: Callable[[], exchange_module.Exchange],
+        add_exchange: Callable[[exchange_module.Exchange], None],
         send_continue: Callable[[], None],
     ) -> None:
-        """Sets it up.
+        """Initializes the reader.
 
         Args:
-          context: What the parts of the node share.
-          limits: Returns what a caller may send now.
-          hold: Counts bytes that are held; tells whether there is room.
-          begin: Returns the exchange of a request that begins.
-          take_head: Takes an exchange whose head is here.
-          send_continue: Tells the caller to send the body.
+          context: State that the parts of the node share.
+          limits: Returns the current limits on what a caller may send.
+          hold: Reserves memory for bytes; returns whether there is room.
+          new_exchange: Returns the exchange for a new request.
+          add_exchange: Adds an exchange whose head is complete.
+          send_continue: Sends 100 Continue to the caller.
         """
         self.context = context
         self.limits = limits
         self.hold = hold
-        self.begin = begin
-        self.take_head = take_head
+        self.new_exchange = new_exchange
+        self.add_exchange = add_exchange
         self.send_continue = send_continue
         self.parser = httptools.HttpRequestParser(self)
         self.reading: exchange_module.Exchange | None = None
@@ -71,62 +73,67 @@
         self.header_bytes = 0
         self.hosts = 0
         self.head_done = False
-        self.named_hop_by_hop: set[bytes] = set()
-        self.bad = ""
+        self.connection_options: set[bytes] = set()
+        self.error_code = ""
 
     def feed(self, data: bytes) -> None:
-        """Parses what has arrived.
+        """Parses received bytes.
 
         Raises:
-          Unreadable: It is no request.
+          ParseError: They are not a valid request, or exceed a limit.
         """
         if self.head_started_at == 0.0 and self.reading is None:
             self.head_started_at = self.context.now
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            raise Unreadable(
-                400, "upgrade_unsupported", "an upgrade"
+            raise ParseError(
+                400, "upgrade_unsupported", "protocol upgrade requested"
             ) from error
         except httptools.HttpParserError as error:
-            raise Unreadable(*self.bad_status(), str(error)) from error
+            raise ParseError(*self.error_status(), str(error)) from error
 
-    def bad_status(self) -> tuple[int, str]:
-        """Returns status and code for bytes that the parser gave up on."""
-        if self.bad == "headers_too_large":
-            return 431, self.bad
-        if self.bad == "body_too_large":
-            return 413, self.bad
-        return 400, self.bad or "bad_request"
+    def error_status(self) -> tuple[int, str]:
+        """Returns status and code of the answer to a parser error."""
+        if self.error_code == "headers_too_large":
+            return 431, self.error_code
+        if self.error_code == "body_too_large":
+            return 413, self.error_code
+        return 400, self.error_code or "bad_request"
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
-        self.reading = self.begin()
+        """Starts a new request."""
+        self.reading = self.new_exchange()
         self.url = b""
         self.header_bytes = 0
         self.hosts = 0
         self.head_done = False
-        self.named_hop_by_hop = set()
+        self.connection_options = set()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the request's target."""
+        """Adds a part of the request target."""
         self.url += url
         self.count_header(len(url))
 
     def count_header(self, size: int) -> None:
-        """Bounds the head."""
+        """Counts bytes of the head against its limit.
+
+        Raises:
+          ValueError: The head is too large.
+        """
         self.header_bytes += size
         if self.header_bytes > self.limits().header_bytes:
-            self.bad = "headers_too_large"
-            raise ValueError(self.bad)
+            self.error_code = "headers_too_large"
+            raise ValueError(self.error_code)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header line, and leaves out what isn't passed on.
+        """Adds a header line, unless it is not forwarded to the target.
 
-        A trailer comes here as well, behind the body. It is dropped: taken
-        for a header, it could bring a key or an id past the checks.
+        The parser also reports trailer fields here, after the body. They are
+        dropped: treated as headers, they could carry a key or an id past the
+        checks.
         """
         if self.head_done:
             return
@@ -147,7 +154,7 @@
             host = value.decode("latin-1").strip().lower()
             head.host = host.partition(":")[0]
         elif low == b"connection":
-            self.strip_named(value)
+            self.set_connection_options(value)
             return
         elif low == b"expect":
             if value.lower() == b"100-continue":
@@ -157,14 +164,17 @@
             return
         head.lines.append(name + b": " + value + b"\r\n")
 
-    def strip_named(self, value: bytes) -> None:
-        """Remembers headers that concern this connection only."""
+    def set_connection_options(self, value: bytes) -> None:
+        """Records the headers that are named as connection options.
+
+        They concern this connection only and are not forwarded.
+        """
         if value.lower() not in (b"keep-alive", b"close"):
             named = {item.strip().lower() for item in value.split(b",")}
-            self.named_hop_by_hop = named
+            self.connection_options = named
 
     def on_headers_complete(self) -> None:
-        """Completes a head."""
+        """Completes the head of a request."""
         exchange = self.reading
         assert exchange is not None
         self.head_done = True
@@ -173,7 +183,7 @@
         head.begun_at = self.context.now
         head.method = self.parser.get_method().decode("latin-1")
         head.path = self.url.decode("latin-1")
-        named = self.named_hop_by_hop
+        named = self.connection_options
         if named:
             head.lines = [
                 line
@@ -185,16 +195,20 @@
         if self.hosts != 1 or not head.path.startswith("/"):
             exchange.rejection = intake.Rejection(400, "bad_request")
             exchange.close = True
-        self.take_head(exchange)
+        self.add_exchange(exchange)
 
     def on_body(self, chunk: bytes) -> None:
-        """Takes a part of the body."""
+        """Adds a part of the body.
+
+        Raises:
+          ValueError: The body is too large.
+        """
         exchange = self.reading
         assert exchange is not None
         exchange.size += len(chunk)
         if exchange.size > self.limits().body_bytes:
-            self.bad = "body_too_large"
-            raise ValueError(self.bad)
+            self.error_code = "body_too_large"
+            raise ValueError(self.error_code)
         if not self.hold(len(chunk)):
             exchange.rejection = intake.Rejection(
                 503, "memory_full", MEMORY_RETRY_MS
@@ -204,7 +218,7 @@
         exchange.parts.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Ends a request."""
+        """Completes a request."""
         if self.reading is not None:
-            self.reading.whole = True
+            self.reading.complete = True
             self.reading = None
