--- a/tests/proxy/callers/test_callers.py
+++ b/tests/proxy/callers/test_callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: order, limits, leaving."""
+"""Connections of callers: order, limits, disconnecting."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.fakes import mesh as fake_mesh
 
 
-async def served(mesh: fake_mesh.Mesh) -> fake_mesh.Place:
+async def start_place(mesh: fake_mesh.Mesh) -> fake_mesh.Place:
     place = await mesh.add("a")
     await mesh.settle()
     return place
 
 
-async def test_pipelined_requests_are_answered_in_their_order(
+async def test_pipelined_requests_are_answered_in_order(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     place.target.script = lambda seen: http_target.sealed(
         seen, body=seen.path.encode()
     )
@@ -32,11 +32,14 @@
     assert place.target.most_running > 1
 
 
-async def test_what_must_not_repeat_waits_for_those_before_it(
+async def test_a_request_that_is_not_idempotent_waits_for_those_before_it(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A payment is sent behind a request whose answer closes the connection."""
-    place = await served(mesh)
+    """Guards against a payment that runs twice.
+
+    If the answer before it closes the connection, the caller sends it again.
+    """
+    place = await start_place(mesh)
     place.target.work_seconds = 0.5
     caller = await mesh.connect(place)
     caller.send(fake_mesh.request(request_id="r1"))
@@ -48,11 +51,11 @@
     assert (await caller.reply(2)).status == 200
 
 
-async def test_a_caller_that_leaves_ends_the_work(
+async def test_a_caller_that_disconnects_cancels_its_request(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await mesh.add("b", service="other")
-    place = await served(mesh)
+    place = await start_place(mesh)
     place.target.work_seconds = 3.0
     for side in (front, place):
         caller = await mesh.connect(side)
@@ -88,10 +91,10 @@
         ),
     ],
 )
-async def test_what_a_request_may_be(
+async def test_requests_get_the_status_of_their_checks(
     mesh: fake_mesh.Mesh, data: bytes, status: int
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     assert (await mesh.ask(place, data)).status == status
     assert len(place.target.seen) == (status == 200)
 
@@ -99,7 +102,7 @@
 async def test_a_forged_workspace_does_not_reach_the_target(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     await mesh.ask(
         place,
         fake_mesh.request(
@@ -116,8 +119,10 @@
     assert headers["x-kept"] == "2"
 
 
-async def test_a_chunked_body_arrives_whole(mesh: fake_mesh.Mesh) -> None:
-    place = await served(mesh)
+async def test_a_chunked_body_is_received_completely(
+    mesh: fake_mesh.Mesh,
+) -> None:
+    place = await start_place(mesh)
     caller = await mesh.connect(place)
     caller.send(
         fake_mesh.request(
@@ -131,9 +136,12 @@
     assert place.target.seen[0].body == b"abcdefg"
 
 
-async def test_a_trailer_is_no_header(mesh: fake_mesh.Mesh) -> None:
-    """Lines behind a chunked body come to the parser like headers."""
-    place = await served(mesh)
+async def test_a_trailer_field_is_not_a_header(mesh: fake_mesh.Mesh) -> None:
+    """Guards against an API key in a trailer field.
+
+    The parser reports fields after a chunked body like headers.
+    """
+    place = await start_place(mesh)
     caller = await mesh.connect(place)
     caller.send(
         fake_mesh.request(
@@ -147,20 +155,20 @@
     assert (await caller.reply()).status == 401
 
 
-async def test_a_head_that_comes_too_slowly_is_given_up(
+async def test_a_connection_with_a_slow_head_is_closed(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     caller = await mesh.connect(place)
     caller.send(b"GET /read/1 HTTP/1.1\r\nHost: ")
     await mesh.settle(4.0)
     assert caller.ended
 
 
-async def test_an_idle_connection_is_kept_for_as_long_as_was_said(
+async def test_an_idle_connection_is_kept_for_its_idle_time_out(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     caller = await mesh.connect(place)
     caller.send(fake_mesh.request())
     await caller.reply()
@@ -171,10 +179,10 @@
     assert caller.ended
 
 
-async def test_a_node_that_drains_finishes_what_it_took(
+async def test_a_draining_node_finishes_accepted_requests(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    place = await served(mesh)
+    place = await start_place(mesh)
     place.target.work_seconds = 3.0
     caller = await mesh.connect(place)
     caller.send(fake_mesh.request())
@@ -188,11 +196,14 @@
     assert await draining == 0
 
 
-async def test_late_in_a_shutdown_only_the_targets_own_calls_are_taken(
+async def test_late_in_a_shutdown_requests_of_callers_are_rejected(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Callers keep using their connections until the process is gone."""
-    place = await served(mesh)
+    """Guards against requests that are cut off when the process ends.
+
+    Callers use their connections until then.
+    """
+    place = await start_place(mesh)
     place.target.work_seconds = 3.5
     running = await mesh.connect(place)
     running.send(fake_mesh.request(request_id="before"))
@@ -207,11 +218,14 @@
     assert await draining == 0
 
 
-async def test_a_caller_that_stalls_within_its_body_is_given_up(
+async def test_a_connection_that_stalls_within_a_body_is_closed(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """What came of the body is held; stalled callers would fill the memory."""
-    place = await served(mesh)
+    """Guards against stalled callers that use up the memory.
+
+    The received part of each body is kept in memory.
+    """
+    place = await start_place(mesh)
     caller = await mesh.connect(place)
     caller.send(
         fake_mesh.request(
@@ -224,11 +238,15 @@
     assert place.node.callers.held_bytes == 0
 
 
-async def test_one_callers_connection_header_strips_nothing_of_another(
+async def test_connection_options_do_not_affect_other_connections(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A caller names headers of its connection; its head then breaks off."""
-    place = await served(mesh)
+    """Guards against connection options that are shared by connections.
+
+    A caller names a header in its Connection header and never completes the
+    head.
+    """
+    place = await start_place(mesh)
     broken = await mesh.connect(place)
     broken.send(b"GET /inner/1 HTTP/1.1\r\nConnection: X-Kept\r\nHost: ")
     await mesh.settle(0.1)
@@ -236,11 +254,14 @@
     assert place.target.seen[0].headers["x-kept"] == "2"
 
 
-async def test_refused_callers_that_come_back_leave_room_for_others(
+async def test_rejected_callers_on_new_connections_leave_room_for_others(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Refused callers come back on new connections and keep the old ones."""
-    place = await served(mesh)
+    """Guards against rejected callers that use up the connections.
+
+    They retry on new connections and keep the old ones open.
+    """
+    place = await start_place(mesh)
     limit = place.node.callers.bound.limit = 20
     for number in range(3 * limit):
         caller = await mesh.connect(place)
@@ -250,11 +271,11 @@
     assert (await mesh.ask(place, fake_mesh.request())).status == 200
 
 
-async def test_an_idle_connection_goes_for_a_new_one_and_a_busy_one_stays(
+async def test_a_new_connection_evicts_an_idle_one_and_not_a_busy_one(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """All connections that callers may have are open, one of them at work."""
-    place = await served(mesh)
+    """All connections that callers may have are open, one of them busy."""
+    place = await start_place(mesh)
     place.target.work_seconds = 1.0
     limit = place.node.callers.bound.limit = 10
     busy = await mesh.connect(place)
--- a/tests/proxy/requests/__init__.py
+++ b/tests/proxy/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of requests on their way."""
+"""Tests of the life of a request."""
--- a/tests/proxy/requests/test_chains.py
+++ b/tests/proxy/requests/test_chains.py
@@ -1,4 +1,4 @@
-"""Calls that targets make of their own, and the requests above them."""
+"""Calls made by targets, and the requests on whose behalf they are made."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.fakes import mesh as fake_mesh
 
 
-async def running(
+async def start_request(
     mesh: fake_mesh.Mesh, place: fake_mesh.Place, request_id: str
 ) -> fake_mesh.Caller:
     """Starts a request that its target does not answer."""
@@ -20,10 +20,10 @@
     return caller
 
 
-async def call_of(
+async def start_call(
     mesh: fake_mesh.Mesh, place: fake_mesh.Place, request_id: str
 ) -> call_module.Call:
-    """Makes a call of the target's own; returns it as its node keeps it."""
+    """Makes a call as the target would; returns its state at the node."""
     caller = await mesh.connect(place)
     caller.send(fake_mesh.request("/inner/1", request_id=request_id, key=None))
     await mesh.settle(0.1)
@@ -39,43 +39,45 @@
 ) -> None:
     place = await mesh.add("a")
     await mesh.settle()
-    await running(mesh, place, "9c4")
+    await start_request(mesh, place, "9c4")
     root = next(iter(place.node.outbound.calls))
-    call = await call_of(mesh, place, "9c4.7b4")
+    call = await start_call(mesh, place, "9c4.7b4")
     assert call.lineage == root.lineage
     assert call.request.priority < slots.CALLS_PRIORITY
     assert slots.root_rank(call.request.priority) == root.request.priority
 
 
-async def test_a_call_of_a_call_has_it_as_well(mesh: fake_mesh.Mesh) -> None:
+async def test_a_call_of_a_call_has_the_lineage_of_the_root(
+    mesh: fake_mesh.Mesh,
+) -> None:
     place = await mesh.add("a")
     await mesh.settle()
-    await running(mesh, place, "9c4")
+    await start_request(mesh, place, "9c4")
     root = next(iter(place.node.outbound.calls))
-    await call_of(mesh, place, "9c4.7b4")
-    deeper = await call_of(mesh, place, "9c4.7b4.a1")
+    await start_call(mesh, place, "9c4.7b4")
+    deeper = await start_call(mesh, place, "9c4.7b4.a1")
     assert deeper.lineage == root.lineage
 
 
 async def test_nothing_is_assumed_of_a_call_with_an_id_of_another_form(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """An id is no proof: only that of a request that runs here is."""
+    """Guards against trusting an id that no request running here has."""
     place = await mesh.add("a")
     await mesh.settle()
-    await running(mesh, place, "9c4")
+    await start_request(mesh, place, "9c4")
     for request_id in ("e51", "e51.7b4", "9c", "9c45.1"):
-        call = await call_of(mesh, place, request_id)
+        call = await start_call(mesh, place, request_id)
         assert call.lineage == lineage.UNKNOWN
         assert call.request.priority == slots.CALLS_PRIORITY
 
 
-async def test_calls_of_a_further_run_count_as_repeats(
+async def test_calls_made_by_a_retry_count_as_retries(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Guards against calls of repeated runs that count as first requests."""
+    """Guards against calls made by a retry that count as first requests."""
     far = await mesh.repeated_run("9c4")
-    call = await call_of(mesh, far, "9c4.7b4")
+    call = await start_call(mesh, far, "9c4.7b4")
     assert call.lineage.repeated
     kept = far.node.outbound.repeats.budgets["grades"]
     now = far.node.context.now
--- a/tests/proxy/requests/test_outcomes.py
+++ b/tests/proxy/requests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers are told when targets, streams or nodes fail."""
+"""Answers to callers when targets, streams or nodes fail."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 PAY = fake_mesh.request("/pay/1", method="POST", body=b"fee", request_id="p1")
 
 
-async def test_what_a_target_did_not_run_is_handed_to_another(
+async def test_a_request_that_a_target_did_not_run_is_sent_to_another(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front, near, far = await two_targets(mesh)
@@ -32,7 +32,7 @@
     assert len(near.target.seen) == len(far.target.seen) == 1
 
 
-async def test_what_no_target_ran_is_said_to_be_not_run(
+async def test_a_request_that_no_target_ran_gets_503_with_retry_after(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front, near, far = await two_targets(mesh)
@@ -42,16 +42,16 @@
     assert float(reply.headers["retry-after"]) > 0
 
 
-def cut_short(seen: http_target.Seen) -> bytes:
+def truncated(seen: http_target.Seen) -> bytes:
     return http_target.sealed(seen, body=b"x" * 100)[:-50]
 
 
-def garbled(seen: http_target.Seen) -> bytes:
+def malformed(seen: http_target.Seen) -> bytes:
     del seen
     return b"\x00\x17 no answer at all\r\n\r\n"
 
 
-def of_another(seen: http_target.Seen) -> bytes:
+def answer_to_another(seen: http_target.Seen) -> bytes:
     other = http_target.Seen(
         seen.method, seen.path, {"currantcart-request-id": "other"}, b""
     )
@@ -67,15 +67,19 @@
 
 
 FAULTS = pytest.mark.parametrize(
-    "fault", [cut_short, garbled, of_another, unsealed]
+    "fault", [truncated, malformed, answer_to_another, unsealed]
 )
 
 
 @FAULTS
-async def test_a_fee_whose_answer_is_lost_is_not_sent_again(
+async def test_a_payment_whose_answer_is_lost_is_not_retried(
     mesh: fake_mesh.Mesh, fault: http_target.Script
 ) -> None:
-    """A target runs a payment and its answer is lost or spoilt."""
+    """Guards against a payment that runs twice.
+
+    The target runs it, and its answer is truncated, malformed, unsealed or
+    for another request.
+    """
     front, near, far = await two_targets(mesh)
     near.target.script = far.target.script = fault
     near.target.cut_after = far.target.cut_after = True
@@ -85,7 +89,7 @@
 
 
 @FAULTS
-async def test_what_may_repeat_is_answered_by_another_target(
+async def test_an_idempotent_request_is_retried_at_another_target(
     mesh: fake_mesh.Mesh, fault: http_target.Script
 ) -> None:
     front, near, _ = await two_targets(mesh)
@@ -95,8 +99,13 @@
     assert (reply.status, reply.body) == (200, b"done")
 
 
-async def test_a_second_answer_reaches_nobody(mesh: fake_mesh.Mesh) -> None:
-    """A target answers twice; the extra answer lies on the connection."""
+async def test_a_second_answer_to_a_request_is_discarded(
+    mesh: fake_mesh.Mesh,
+) -> None:
+    """Guards against a stray answer that is taken for the next request's.
+
+    The target answers twice, and the connection is used again.
+    """
     place = await mesh.add("a")
     await mesh.settle()
     place.target.script = lambda seen: (
@@ -125,7 +134,7 @@
     assert (reply.status, reply.body) == (200, b"all of it")
 
 
-async def test_a_targets_failure_is_passed_on_as_it_is(
+async def test_an_error_answer_of_a_target_is_forwarded_unchanged(
     mesh: fake_mesh.Mesh,
 ) -> None:
     place = await mesh.add("a")
@@ -138,7 +147,7 @@
     assert reply.headers["currantcart-server-seal"] == "s1"
 
 
-async def test_a_silent_target_costs_its_caller_no_more_than_the_time_out(
+async def test_a_target_that_never_answers_costs_no_more_than_the_time_out(
     mesh: fake_mesh.Mesh,
 ) -> None:
     place = await mesh.add("a")
@@ -167,10 +176,13 @@
     assert len(near.target.seen) + len(far.target.seen) == 1
 
 
-async def test_a_request_that_was_held_up_is_not_run_late(
+async def test_a_delayed_request_is_not_run_after_its_deadline(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A frame lies in a socket while its caller is told that time is over."""
+    """Guards against a run after the caller got 504.
+
+    The frame is delayed in a socket until after the deadline.
+    """
     front, near, _ = await two_targets(mesh)
     link = near.node.peers.by_instance["a"].incoming
     assert link is not None
@@ -189,10 +201,13 @@
     assert not near.target.seen
 
 
-async def test_a_link_that_comes_back_does_not_start_what_was_given_up(
+async def test_a_link_that_recovers_does_not_start_cancelled_requests(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A link holds requests up for seconds, and lets all go at once."""
+    """Guards against work for callers that have disconnected.
+
+    A link delays requests and their cancels, then delivers all at once.
+    """
     front, near, far = await two_targets(mesh)
     far.node.guard.ready = False
     far.node.peers.publish()
@@ -216,10 +231,13 @@
     assert not near.target.seen
 
 
-async def test_a_peer_that_hears_late_gets_nothing_new(
+async def test_a_peer_that_receives_late_gets_no_new_requests(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """What a node sends waits in a queue while the other way is free."""
+    """Guards against requests to a peer that is cut off in one direction.
+
+    Frames to the peer are queued while frames from it still arrive.
+    """
     front, near, far = await two_targets(mesh)
     link = near.node.peers.by_instance["a"].incoming
     assert link is not None
@@ -236,7 +254,7 @@
     assert not near.target.seen
 
 
-async def test_a_target_that_is_another_now_gets_nothing(
+async def test_a_target_with_another_id_does_not_run_the_request(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front, near, far = await two_targets(mesh)
@@ -247,10 +265,13 @@
     assert far.target.seen
 
 
-async def test_a_node_at_a_used_address_takes_its_predecessors_place(
+async def test_a_node_at_a_reused_address_replaces_its_predecessor(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A machine goes for good and another one gets its address."""
+    """Guards against a stale peer after an instance was replaced.
+
+    An instance ends for good, and another one gets its address.
+    """
     front = await mesh.add("a", service="other")
     gone = await mesh.add("b")
     await mesh.settle()
@@ -262,10 +283,14 @@
     assert "n" in front.node.peers.by_instance
 
 
-async def test_a_target_behind_a_silent_stream_does_not_look_empty(
+async def test_a_target_behind_a_silent_stream_does_not_look_idle(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A node is cut off in a burst, and nothing says so."""
+    """Guards against routing a burst to an unreachable target.
+
+    A node is cut off without any error, and the load that it last reported
+    is low.
+    """
     front, near, far = await two_targets(mesh)
     link = near.node.peers.by_instance["a"].incoming
     assert link is not None
@@ -290,18 +315,23 @@
         await mesh.settle(0.04)
     statuses = [(await task).status for task in waiting]
     assert statuses[:9] == [200] * 9
-    # 0.12 s of quiet, 0.2 s for the answer, a tick and what is kept.
+    # 0.12 s without a frame, 0.2 s for the answer, a tick, and the time for
+    # which the list of reachable targets is cached.
     assert statuses[21:] == [200] * 19
-    told = [line for line in mesh.lines if "event=peer_quiet" in line]
-    assert len(told) == 1
-    assert "peer=b" in told[0]
+    reported = [line for line in mesh.lines if "event=peer_quiet" in line]
+    assert len(reported) == 1
+    assert "peer=b" in reported[0]
 
 
 @pytest.mark.parametrize("service", ["other", "grades"])
-async def test_a_quiet_target_is_used_where_there_is_no_other(
+async def test_an_unresponsive_target_is_used_when_it_is_the_only_one(
     mesh: fake_mesh.Mesh, service: str
 ) -> None:
-    """Lost packets delay the sign of life of the only target."""
+    """Guards against refusing all requests when the only target is late.
+
+    Lost packets delay the reply of its node, which then counts as
+    unresponsive.
+    """
     front = await mesh.add("a", service=service, report=False)
     await mesh.add("b")
     await mesh.settle()
--- a/tests/proxy/requests/test_repeats.py
+++ b/tests/proxy/requests/test_repeats.py
@@ -1,4 +1,4 @@
-"""What a node decides and tells of repeats."""
+"""Retry decisions of a node, and their log lines and metrics."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return [line for line in lines if line.event == event]
 
 
-async def test_a_repeat_is_told_with_what_the_budget_held(
+async def test_retry_decisions_are_logged_with_the_state_of_the_budget(
     mesh: fake_mesh.Mesh,
 ) -> None:
     await ask_rejecting_targets(mesh, requests=60)
@@ -50,7 +50,7 @@
     assert refused[-1].values["nodes"] == "3"
 
 
-async def test_the_metrics_tell_each_service_s_budget(
+async def test_the_metrics_report_the_budget_of_each_service(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await ask_rejecting_targets(mesh, requests=60)
@@ -79,10 +79,13 @@
     )
 
 
-async def test_calls_of_repeated_runs_stay_within_the_retry_budget(
+async def test_calls_made_by_retries_stay_within_the_retry_budget(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A service below got more repeats than its budget from such calls."""
+    """Guards against calls that exceed the retry budget of their service.
+
+    Calls made by a retried request were counted as first requests.
+    """
     far = await mesh.repeated_run("9c4")
     for place in mesh.places.values():
         place.target.script = http_target.sealed
@@ -110,7 +113,7 @@
 async def test_changed_bounds_do_not_renew_a_retry_budget(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Each reload of changed settings forgot the repeats already sent."""
+    """Guards against a reload of settings that resets the retry budgets."""
     front = await mesh.add("a", service="other")
     for name in "bc":
         place = await mesh.add(name)
@@ -132,10 +135,13 @@
     assert sent <= bounds.retry_ratio * 200 + bounds.retry_slack
 
 
-async def test_a_node_that_has_just_started_leaves_the_fixed_number(
+async def test_a_node_that_has_just_started_has_no_share_of_the_fixed_number(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Its process before may have used that part in the same window."""
+    """Guards against a share that is used twice in one window.
+
+    The previous process of the node may have used it already.
+    """
     front = await ask_rejecting_targets(mesh, requests=0)
     for number in range(4):
         await mesh.restart(front)
@@ -145,7 +151,7 @@
     assert set(arrivals(mesh, "s").values()) == {1}
 
 
-async def test_a_node_that_the_store_has_named_nobody_to_has_no_part(
+async def test_a_node_without_a_list_of_nodes_from_the_store_has_no_share(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await ask_rejecting_targets(mesh, requests=0)
@@ -157,7 +163,7 @@
     assert front.node.outbound.repeats.share() == 0.0
 
 
-async def test_changed_bounds_hold_for_what_was_counted(
+async def test_changed_bounds_apply_to_requests_counted_before(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await ask_rejecting_targets(mesh, requests=30)
@@ -171,7 +177,7 @@
     assert standing.left == 0.0
 
 
-async def test_another_window_starts_a_budget_anew_without_a_fixed_part(
+async def test_another_window_length_resets_the_budget_without_a_fixed_share(
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await ask_rejecting_targets(mesh, requests=30)
@@ -181,10 +187,10 @@
     assert front.node.outbound.repeats.share() == 0.0
 
 
-async def test_a_calm_node_that_loses_sight_of_the_others_keeps_its_share(
+async def test_an_idle_node_that_loses_its_peers_keeps_its_share(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Guards against a fleet that is noted only when there is a repeat."""
+    """Guards against a fleet size that is recorded only on a retry."""
     front = await ask_rejecting_targets(mesh, requests=0)
     front.node.peers.by_instance.clear()
     assert front.node.outbound.repeats.share() <= 1 / 3
