--- a/src/currantcart/proxy/__init__.py
+++ b/src/currantcart/proxy/__init__.py
@@ -1,5 +1,11 @@
-"""The way of a request: caller, node, peer's node, target, and back.
+"""The request path of a platform deployment, which is plain HTTP.
 
-Every part here is called by the event loop with what has arrived and returns
-at once; a request costs no task. docs/design/platform.md gives the figures.
+A node accepts plain HTTP/1.1 from callers, routes each request to its target or
+to a peer's node, and forwards it to the target as plain HTTP. Header names come
+from the platform, see `dialect`. The other request path, `currantcart.node`,
+serves the product's own interface.
+
+The event loop calls the parts of this package with the data that has arrived,
+and they return without waiting; no task is created for a request. Measurements
+are in docs/design/platform.md.
 """
--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""State that all components of one node share."""
 
 from __future__ import annotations
 
@@ -19,17 +19,23 @@
     """Shared state of one node.
 
     Attributes:
-      settings: Settings now in force.
+      settings: Settings in force.
       dialect: Header names of the deployment.
-      keys: The same, as parsers look them up.
+      keys: The same names, in the form that parsers look up.
       process: Id of this process.
-      catalog: Configuration in force; None before the first.
-      freshness: How current it is known to be.
-      draining: Whether the node sends its callers elsewhere.
-      closing: Whether it answers callers that they must go elsewhere.
-      pace_ms: Time between two statuses on a stream.
-      leaving: Whether it takes no more requests for its target.
-      started_at: When this process began.
+      clock: Clock of the node.
+      loop: Event loop that runs the node.
+      rng: Source of random numbers.
+      log: Log of the node's decisions.
+      counts: Metrics of the node.
+      catalog: Configuration in force; None before the first is received.
+      freshness: How recently `catalog` was confirmed to be the newest version.
+      draining: Whether the node shuts down: readiness fails, and callers'
+        connections are closed after their next response.
+      closing: Whether the node rejects new requests of callers.
+      leaving: Whether the node rejects new requests for its target.
+      pace_ms: Interval between two statuses on a stream, in milliseconds.
+      started_at: Start of this process, in milliseconds of the node's clock.
     """
 
     settings: proxy_settings.ProxySettings
@@ -56,5 +62,5 @@
 
     @property
     def now(self) -> float:
-        """Milliseconds of the node's clock."""
+        """Current time of the node's clock, in milliseconds."""
         return self.clock.now()
--- a/src/currantcart/proxy/control.py
+++ b/src/currantcart/proxy/control.py
@@ -1,4 +1,7 @@
-"""A small HTTP server for probes and reports: whole requests, whole answers."""
+"""Minimal HTTP server for probes, reports and metrics.
+
+Requests and responses are buffered completely; nothing is streamed.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """A request to a node itself."""
+    """A request addressed to the node itself."""
 
     method: str
     path: str
@@ -26,19 +29,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ControlAnswer:
-    """The answer to it."""
+class ControlResponse:
+    """The response to a `ControlRequest`."""
 
     status: int
     body: bytes = b""
     content_type: str = "text/plain"
 
 
-Handler = Callable[[ControlRequest], Awaitable[ControlAnswer]]
+Handler = Callable[[ControlRequest], Awaitable[ControlResponse]]
 
 
 class ControlConnection(asyncio.Protocol):
-    """One connection; requests are answered one after the other."""
+    """One connection; pipelined requests are answered in order.
+
+    Attributes:
+      url: Request target received so far.
+      parts: Parts of the body received so far.
+      size: Bytes in `parts`.
+      last: Task that answers the latest request; None before the first.
+    """
 
     def __init__(
         self, handler: Handler, loop: asyncio.AbstractEventLoop
@@ -53,17 +63,17 @@
         self.last: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Stores the transport."""
+        # uvloop's transports are not subclasses of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drops the transport."""
+        """Discards the transport."""
         del exc
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrives."""
+        """Parses received bytes; closes the connection if they are not HTTP."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -71,24 +81,32 @@
                 self.transport.close()
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Resets the state for a new request."""
         self.url, self.parts, self.size = b"", [], 0
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the request's target."""
+        """Appends a part of the request target.
+
+        Raises:
+          ValueError: The request target exceeds `HEAD_BYTES_MAX`.
+        """
         self.url += url
         if len(self.url) > HEAD_BYTES_MAX:
-            raise ValueError("the path is too long")
+            raise ValueError(f"request path exceeds {HEAD_BYTES_MAX} bytes")
 
     def on_body(self, chunk: bytes) -> None:
-        """Takes a part of the body."""
+        """Appends a part of the body.
+
+        Raises:
+          ValueError: The body exceeds `BODY_BYTES_MAX`.
+        """
         self.size += len(chunk)
         if self.size > BODY_BYTES_MAX:
-            raise ValueError("the body is too large")
+            raise ValueError(f"request body exceeds {BODY_BYTES_MAX} bytes")
         self.parts.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Has a request answered behind the ones before it."""
+        """Schedules the response to a complete request."""
         request = ControlRequest(
             self.parser.get_method().decode("latin-1"),
             self.url.decode("latin-1"),
@@ -101,21 +119,27 @@
     async def answer(
         self,
         request: ControlRequest,
-        before: asyncio.Task[None] | None,
-        keep: bool,
+        previous: asyncio.Task[None] | None,
+        keep_alive: bool,
     ) -> None:
-        """Answers one request."""
-        if before is not None:
-            await asyncio.wait([before])
-        answer = await self.handler(request)
+        """Answers a request once the previous one has been answered.
+
+        Args:
+          request: The request.
+          previous: Task that answers the previous request of the connection.
+          keep_alive: Whether the connection stays open after the response.
+        """
+        if previous is not None:
+            await asyncio.wait([previous])
+        response = await self.handler(request)
         stream.write(
             self.transport,
-            status.STATUS_LINES[answer.status]
-            + f"Content-Type: {answer.content_type}\r\n"
-            f"Content-Length: {len(answer.body)}\r\n"
-            f"{'' if keep else 'Connection: close' + chr(13) + chr(10)}"
+            status.STATUS_LINES[response.status]
+            + f"Content-Type: {response.content_type}\r\n"
+            f"Content-Length: {len(response.body)}\r\n"
+            f"{'' if keep_alive else 'Connection: close' + chr(13) + chr(10)}"
             "\r\n".encode()
-            + answer.body,
+            + response.body,
         )
-        if not keep and self.transport is not None:
+        if not keep_alive and self.transport is not None:
             self.transport.close()
--- a/src/currantcart/proxy/dialect.py
+++ b/src/currantcart/proxy/dialect.py
@@ -1,6 +1,6 @@
-"""The header names that a deployment's callers and targets use.
+"""Names of the HTTP headers that a deployment's callers and targets use.
 
-They come from the deployment, as data; nothing here knows any of them.
+The deployment supplies the names as data; this package hard-codes none of them.
 """
 
 from __future__ import annotations
@@ -13,14 +13,16 @@
     """Header names, as written on the wire.
 
     Attributes:
-      request_id: Id of a request; passed on as it is.
-      deadline: Milliseconds that the caller will wait.
-      workspace: Name of the workspace, for the target.
-      caller: Service at which the request began, for the target.
-      expected: Id of the only target that may run the request.
-      not_executed: Marks a target's answer to a request it did not run.
-      key: Key of a workspace, from the caller.
-      seal: A target's mark on its own answer.
+      request_id: Id of a request; forwarded unchanged.
+      deadline: Time until the caller's deadline, in milliseconds.
+      workspace: Name of the workspace; set by the node for the target.
+      caller: Service that the request originates from; set by the node for the
+        target.
+      expected: Id of the only target that may run the request; set by the node.
+      not_executed: Set by a target in its response to a request that it did not
+        run.
+      key: API key of a workspace, sent by the caller.
+      seal: Set by a target in responses that it generated itself.
     """
 
     request_id: str
@@ -52,7 +54,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderKeys:
-    """Lower-case names, as the parsers look them up."""
+    """Header names in lower case, for look-up in parsed heads.
+
+    Attributes:
+      request_id: See `Dialect`.
+      deadline: See `Dialect`.
+      not_executed: See `Dialect`.
+      key: See `Dialect`.
+      seal: See `Dialect`.
+      stripped: Headers that are not forwarded: `HOP_BY_HOP` and those that
+        the node sets itself.
+    """
 
     request_id: bytes
     deadline: bytes
@@ -65,25 +77,25 @@
     def of(cls, dialect: Dialect) -> HeaderKeys:
         """Returns the keys of a dialect.
 
-        What the node sets itself is stripped from requests, whatever a
-        caller sent there: a target would take it for the node's word.
+        Headers that the node sets itself are stripped from callers' requests,
+        because a target would trust them as set by the node.
         """
 
-        def low(name: str) -> bytes:
+        def lower(name: str) -> bytes:
             return name.lower().encode()
 
-        own = {
-            low(dialect.deadline),
-            low(dialect.workspace),
-            low(dialect.caller),
-            low(dialect.expected),
-            low(dialect.key),
+        set_by_node = {
+            lower(dialect.deadline),
+            lower(dialect.workspace),
+            lower(dialect.caller),
+            lower(dialect.expected),
+            lower(dialect.key),
         }
         return cls(
-            request_id=low(dialect.request_id),
-            deadline=low(dialect.deadline),
-            not_executed=low(dialect.not_executed),
-            key=low(dialect.key),
-            seal=low(dialect.seal),
-            stripped=HOP_BY_HOP | own,
+            request_id=lower(dialect.request_id),
+            deadline=lower(dialect.deadline),
+            not_executed=lower(dialect.not_executed),
+            key=lower(dialect.key),
+            seal=lower(dialect.seal),
+            stripped=HOP_BY_HOP | set_by_node,
         )
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -1,4 +1,4 @@
-"""One node of a deployment that a platform starts: parts, life, shutdown."""
+"""One node of a platform deployment: composition, start, ticks and shutdown."""
 
 from __future__ import annotations
 
@@ -32,29 +32,30 @@
 TICK_SECONDS = 0.05
 TICK_MS = 1_000 * TICK_SECONDS
 TRANSIT_MS = 20.0
-"""Time from a moment at which something is told until peers have heard it."""
+"""Time from sending an update until peers have processed it."""
 SWEEP_TICKS = 10
 RESTART_SECONDS = 0.5
-PEER_SECONDS_MAX = 0.25
+# Longest wait of a starting node for the first status of a peer.
+PEER_WAIT_SECONDS_MAX = 0.25
 LEAVE_SECONDS = 0.02
-"""Time for the announcement to be sent before the streams are cut."""
+"""Time to send the leave message before the streams are closed."""
 
 
 def heard_after_ms(pace_ms: float) -> float:
-    """Returns the time after which peers have heard what is told at a pace."""
+    """Returns the time until peers have an update sent at a given interval."""
     return math.ceil(pace_ms / TICK_MS) * TICK_MS + TRANSIT_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the composition knows of the platform.
+    """Properties of the platform that a node depends on.
 
     Attributes:
-      config_key: Key of the operator's configuration.
-      nodes_prefix: Prefix of the nodes' entries.
+      config_key: Store key of the operator's configuration.
+      nodes_prefix: Prefix of the store keys of the nodes' entries.
       readiness_path: Path of the readiness probe.
-      parse_config: Reads the operator's configuration.
-      parse_report: Reads a report of a target from its path and body.
+      parse_config: Parses the operator's configuration.
+      parse_report: Parses a report of a target from its path and body.
     """
 
     config_key: str
@@ -68,12 +69,14 @@
     """A running node.
 
     Attributes:
-      guard: Admission to the target beside it.
-      outbound: Routing of its callers' requests.
+      guard: Admission to the local target.
+      outbound: Routing of callers' requests.
       peers: The other nodes.
-      stopping: Set when a shutdown was asked for.
-      peer_heard: Set once a peer's status was heard.
-      found: Set once the store was asked who is there.
+      stopping: Set when a shutdown is requested.
+      peer_status_received: Set with the first status of a peer.
+      discovered: Set after the store was asked for peers and the wait for a
+        peer's first status has ended.
+      ticks: Number of ticks since the start.
     """
 
     def __init__(
@@ -109,28 +112,28 @@
             store=store,
             key=deployment.config_key,
             parse=deployment.parse_config,
-            on_change=self.config_changed,
+            on_change=self.apply_config,
         )
-        self.peer_heard = asyncio.Event()
+        self.peer_status_received = asyncio.Event()
         self.statuses = statuses.Statuses(
             context,
-            own_guard=self.guard,
+            local_guard=self.guard,
             quotas=self.quotas,
             record=self.record,
             feed=self.feed,
-            on_heard=self.peer_heard.set,
-            on_left=lambda: self.registration.mark_dirty(),
+            on_status=self.peer_status_received.set,
+            on_target_left=lambda: self.registration.mark_dirty(),
         )
         self.peers = peers.Peers(
             context,
             status=self.statuses.status_for,
-            on_status=self.statuses.status_heard,
+            on_status=self.statuses.apply_status,
             on_config=self.feed.config_heard,
             on_fetch=self.feed.exchange.fetch_heard,
-            on_call_frame=self.call_frame,
-            on_lost=self.link_lost,
+            on_call_frame=self.handle_call_frame,
+            on_lost=self.handle_link_lost,
             on_gone=lambda peer: self.quotas.forget(peer.member.process),
-            on_counts=self.statuses.counts_heard,
+            on_counts=self.statuses.apply_counts,
             expedited=self.quotas.expedited,
         )
         self.silence = silence.Silence(
@@ -150,7 +153,7 @@
             member=self.peers.member,
             record=self.record,
             on_members=self.peers.still_named,
-            on_restored=lambda: self.reports.restored(),
+            on_restored=lambda: self.reports.apply_restored(),
             peer_count=lambda: len(self.peers.by_instance),
         )
         self.servers: list[asyncio.Server] = []
@@ -163,7 +166,7 @@
             context,
             parse=deployment.parse_report,
             record=self.record,
-            own_guard=self.guard,
+            local_guard=self.guard,
             registration=self.registration,
             publish=self.peers.publish,
             hold=self.background.hold,
@@ -172,60 +175,60 @@
             context, quotas=self.quotas, budgets=self.outbound.repeats.budgets
         )
         self.stopping = asyncio.Event()
-        self.found = asyncio.Event()
+        self.discovered = asyncio.Event()
         self.ticks = 0
         self.add_gauges()
 
-    # What comes from peers.
+    # Events from peers.
 
-    def call_frame(self, item: link.Link, frame: frames.Frame) -> None:
-        """Takes a frame of a call, from either side of it."""
+    def handle_call_frame(self, item: link.Link, frame: frames.Frame) -> None:
+        """Dispatches a call frame to the outbound or the inbound side."""
         if item.dialled:
             self.outbound.attempts.frame(item, frame)
         else:
-            self.inbound.frame(item, frame)
+            self.inbound.handle_frame(item, frame)
 
-    def link_lost(self, item: link.Link) -> None:
-        """Ends the calls on a stream."""
+    def handle_link_lost(self, item: link.Link) -> None:
+        """Ends all calls on a stream that was lost."""
         if item.dialled:
             self.outbound.attempts.link_lost(item)
         else:
-            self.inbound.link_lost(item)
+            self.inbound.handle_link_lost(item)
 
-    def config_changed(self) -> None:
-        """Takes the rates of a new configuration."""
+    def apply_config(self) -> None:
+        """Applies the workspaces' rates of a new configuration."""
         catalog = self.context.catalog
         assert catalog is not None
         self.quotas.configure(catalog.rates(), self.context.now)
 
-    # Probes and reports.
+    # Probes and metrics.
 
     def is_ready(self) -> bool:
-        """Tells whether callers should come to this node."""
+        """Returns whether the platform should route callers to this node."""
         return (
             self.context.catalog is not None
-            and (self.found.is_set() or bool(self.peers.by_instance))
+            and (self.discovered.is_set() or bool(self.peers.by_instance))
             and not self.context.draining
         )
 
     async def probe(
         self, request: control.ControlRequest
-    ) -> control.ControlAnswer:
+    ) -> control.ControlResponse:
         """Answers the readiness probe."""
         if request.path.partition("?")[0] != self.deployment.readiness_path:
-            return control.ControlAnswer(404)
-        return control.ControlAnswer(200 if self.is_ready() else 503)
+            return control.ControlResponse(404)
+        return control.ControlResponse(200 if self.is_ready() else 503)
 
     async def metrics(
         self, request: control.ControlRequest
-    ) -> control.ControlAnswer:
-        """Tells the metrics."""
+    ) -> control.ControlResponse:
+        """Returns the metrics in the Prometheus text format."""
         del request
         text = self.context.counts.render()
-        return control.ControlAnswer(200, text, "text/plain; version=0.0.4")
+        return control.ControlResponse(200, text, "text/plain; version=0.0.4")
 
     def add_gauges(self) -> None:
-        """Names what is read of this node's state when somebody asks."""
+        """Registers the gauges that are read when the metrics are rendered."""
         known, queue = self.context.freshness, self.guard.queue
         self.context.counts.gauges = {
             "config_version": lambda: known.version,
@@ -248,10 +251,14 @@
         }
         self.context.counts.service_gauges = self.outbound.repeats.gauges()
 
-    # Life.
+    # Start and periodic work.
 
     async def start(self) -> None:
-        """Opens all ports and starts the background work."""
+        """Binds all ports and starts the background tasks.
+
+        Raises:
+          OSError: A port could not be bound.
+        """
         listen, loop = self.context.settings.listen, self.context.loop
         ports: list[tuple[str, Callable[[], asyncio.Protocol], int]] = [
             (listen.peers, self.peers.accept, 256),
@@ -268,7 +275,7 @@
                     factory, host, port_number, backlog=backlog
                 )
             )
-        self.background.keep(self.find_peers)
+        self.background.keep(self.discover_peers)
         self.background.keep(self.registration.run)
         self.background.keep(self.feed.watch)
         self.background.keep(self.run_ticks)
@@ -282,29 +289,35 @@
     def control_of(
         self, handler: control.Handler
     ) -> Callable[[], control.ControlConnection]:
-        """Returns what makes the connections of a control port."""
+        """Returns the protocol factory of a control port."""
         return lambda: control.ControlConnection(handler, self.context.loop)
 
-    async def find_peers(self) -> None:
-        """Reads who is there, and what the process before left."""
+    async def discover_peers(self) -> None:
+        """Reads the members and the previous process's record from the store.
+
+        Waits a short time for a peer's first status, so that a node that has
+        peers becomes ready only with their state. Afterwards it applies a
+        report of the target that has arrived meanwhile, or else the target
+        that the previous process recorded.
+        """
         await self.registration.start()
         self.feed.found_at = self.context.now
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(PEER_SECONDS_MAX):
-                await self.peer_heard.wait()
-        self.found.set()
+            async with asyncio.timeout(PEER_WAIT_SECONDS_MAX):
+                await self.peer_status_received.wait()
+        self.discovered.set()
         await self.registration.confirmed.wait()
-        await self.reports.take_first()
+        await self.reports.apply_first()
         self.reports.use_restored()
 
     async def run_ticks(self) -> None:
-        """Does what is due, at a steady pace."""
+        """Runs the periodic work every `TICK_SECONDS`."""
         while True:
             self.tick()
             await asyncio.sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Does what is due now."""
+        """Updates and publishes the node's state; every few ticks sweeps."""
         self.ticks += 1
         if self.guard.update_gauge():
             self.peers.publish()
@@ -334,7 +347,7 @@
             self.guard.exchange.pool.sweep(now)
 
     def use_settings(self, settings: proxy_settings.ProxySettings) -> None:
-        """Takes bounds that have changed; addresses need a new start."""
+        """Applies changed bounds; changed addresses need a restart."""
         before = self.context.settings
         self.context.settings = settings
         self.callers.intake.revoke_ms = settings.bounds.revoke_seconds * 1e3
@@ -347,17 +360,21 @@
         )
 
     def background_failed(self, error: Exception) -> None:
-        """Logs background work that failed."""
+        """Logs the failure of a background task."""
         self.context.log.event("background_failed", error=repr(error)[:200])
 
     # Shutdown.
 
     def running(self) -> int:
-        """Returns how many requests are on their way or at the target."""
+        """Returns how many requests are routed or run at the local target."""
         return len(self.outbound.calls) + len(self.guard.running)
 
     async def drain(self) -> int:
-        """Leaves without cutting a request; returns how many were cut."""
+        """Drains the node and ends its registration.
+
+        Returns:
+          How many requests were still in progress and will be cut off.
+        """
         cut = await shutdown.drain(
             self.context,
             running=self.running,
@@ -368,13 +385,13 @@
         return cut
 
     async def stop(self) -> None:
-        """Closes everything."""
+        """Closes all connections and ends the background tasks."""
         for server in self.servers:
             server.close()
         for task in list(self.background.tasks):
             task.cancel()
-        # Callers first: losing the streams would have them told of failures
-        # while their targets are at work.
+        # Callers' connections are closed first. Closing the streams first
+        # would send callers errors for requests that targets still run.
         for connection in list(self.callers.connections):
             connection.end()
         self.peers.announce_leave()
--- a/src/currantcart/proxy/serve.py
+++ b/src/currantcart/proxy/serve.py
@@ -1,4 +1,4 @@
-"""Runs one node of a platform's deployment as a process."""
+"""Runs one node of a platform deployment as a process."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 def build(
     settings: proxy_settings.ProxySettings, loop: asyncio.AbstractEventLoop
 ) -> node.Node:
-    """Returns a node on the machine's clock, network and output."""
+    """Returns a node that uses the system's clock, network and output."""
     clock = clock_module.suspend_aware_clock()
     os.set_blocking(1, False)
     context = proxy_context.Context(
@@ -63,11 +63,11 @@
 
 
 async def serve(path: pathlib.Path) -> int:
-    """Runs a node until it is asked to stop.
+    """Runs a node until a termination signal.
 
     Returns:
-      0 after a graceful shutdown, 1 when requests were cut or an address
-      could not be taken.
+      0 after a graceful shutdown, 1 if requests were cut off or an address
+      could not be bound.
     """
     loop = asyncio.get_running_loop()
     running = build(proxy_settings.load(path), loop)
@@ -77,8 +77,8 @@
     try:
         await running.start()
     except OSError as error:
-        # The process before may still hold a port; whoever starts this one
-        # tries again, and its log should say why in one line.
+        # The previous process may still hold a port. The supervisor retries
+        # the start; the log gives the reason in one line.
         running.context.log.event("start_failed", detail=str(error))
         running.context.log.flush()
         return 1
@@ -93,7 +93,7 @@
 
 
 def reload(running: node.Node, path: pathlib.Path) -> None:
-    """Reads the settings again; what can't be read changes nothing."""
+    """Reloads the settings; invalid settings are logged and ignored."""
     try:
         settings = proxy_settings.load(path)
     except errors.SettingsError as error:
@@ -103,25 +103,25 @@
 
 
 async def watch_settings(running: node.Node, path: pathlib.Path) -> None:
-    """Reads the settings again when their file changes without a signal."""
-    seen = stamp_of(path)
+    """Reloads the settings when their file changes, also without SIGHUP."""
+    seen = file_stamp(path)
     while True:
         await asyncio.sleep(SETTINGS_SECONDS)
-        present = stamp_of(path)
+        present = file_stamp(path)
         if present != seen:
             seen = present
             reload(running, path)
 
 
-def stamp_of(path: pathlib.Path) -> tuple[float, int]:
-    """Returns time and size of a file; zeros when it can't be seen."""
+def file_stamp(path: pathlib.Path) -> tuple[float, int]:
+    """Returns a file's modification time and size; zeros if not accessible."""
     try:
-        found = path.stat()
+        stat = path.stat()
     except OSError:
         return 0.0, 0
-    return found.st_mtime, found.st_size
+    return stat.st_mtime, stat.st_size
 
 
 def run(path: pathlib.Path) -> int:
-    """Runs a node on the fast loop."""
+    """Runs a node on a uvloop event loop and returns its exit status."""
     return uvloop.run(serve(path))
--- a/src/currantcart/proxy/settings.py
+++ b/src/currantcart/proxy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node that a platform starts, checked as they are read."""
+"""Settings file of a node in a platform deployment, validated on load."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
     """Addresses on which the node listens, as IP:PORT.
 
     Attributes:
-      callers: HTTP of callers on this machine and of the own target.
+      callers: HTTP requests of callers on this instance and of the local
+        target.
       peers: Streams of other nodes.
-      readiness: HTTP of the platform's readiness probe.
-      reports: HTTP of the target's reports about itself.
-      metrics: HTTP of the metrics; empty leaves them out.
-      advertised: Where peers are told to dial, if that differs from `peers`.
+      readiness: HTTP readiness probe of the platform.
+      reports: HTTP reports of the target about itself.
+      metrics: HTTP metrics; not served if empty.
+      advertised: Address that peers dial; `peers` if empty.
     """
 
     callers: str
@@ -33,15 +34,17 @@
 
 
 class Bounds(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Times and ratios that the deployment asks to be kept.
+    """Time limits and ratios that the deployment requires.
 
     Attributes:
-      revoke_seconds: Time within which a withdrawn key must stop working.
-      drain_seconds: Time within which a draining target gets nothing more.
-      grace_seconds: Time from the signal to stop until the process is ended.
-      retry_ratio: Repeats a service may get for each of its requests.
-      retry_slack: Repeats beyond that, over all nodes.
-      retry_window_seconds: Length of the window in which they count.
+      revoke_seconds: Time within which a revoked key must stop working.
+      drain_seconds: Time within which a draining target must stop receiving
+        requests.
+      grace_seconds: Time between the termination signal and the kill of the
+        process.
+      retry_ratio: Retries that a service may receive for each of its requests.
+      retry_slack: Retries allowed beyond the ratio, over all nodes.
+      retry_window_seconds: Length of the window in which retries are counted.
     """
 
     revoke_seconds: float = 5.0
@@ -57,14 +60,14 @@
 
     Attributes:
       instance: Name of this instance, unique in the fleet.
-      failure_domain: Where it runs.
+      failure_domain: Failure domain of this instance.
       region: Region of the failure domain.
-      service: Service of the target beside it.
-      target: Address of that target.
-      listen: Own addresses.
+      service: Service that the local target serves.
+      target: Address of the local target.
+      listen: Addresses on which the node listens.
       store: Address of the platform's store.
-      bounds: Times and ratios to keep.
-      descriptors: Files and sockets that the process may open.
+      bounds: Time limits and ratios of the deployment.
+      descriptors: File descriptors that the process may open.
     """
 
     instance: str
@@ -79,10 +82,10 @@
 
 
 def split_address(value: str) -> tuple[str, int]:
-    """Splits `IP:PORT`.
+    """Splits `IP:PORT` into host and port.
 
     Raises:
-      errors.SettingsError: It is no address.
+      errors.SettingsError: The value has no host or no numeric port.
     """
     host, _, port = value.rpartition(":")
     if not host or not port.isdigit():
@@ -94,10 +97,10 @@
 
 
 def load(path: pathlib.Path) -> ProxySettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-      errors.SettingsError: The file is missing or does not validate.
+      errors.SettingsError: The file cannot be read or is invalid.
     """
     code = errors.Code.SETTINGS_INVALID
     try:
@@ -110,17 +113,21 @@
 
 
 def parse(text: bytes, *, source: str) -> ProxySettings:
-    """Checks the text of a settings file.
+    """Parses and validates the text of a settings file.
+
+    Args:
+      text: Content of the file, JSON with optional comments.
+      source: Name of the file, for error messages.
 
     Raises:
-      errors.SettingsError: It does not validate.
+      errors.SettingsError: The text is invalid.
     """
     code = errors.Code.SETTINGS_INVALID
     try:
         values = msgspec.json.decode(text)
     except msgspec.DecodeError:
-        # Comments are rare where a platform renders the file, and their
-        # reader is slow to import.
+        # The JSONC parser is slow to import and rarely needed: files that a
+        # platform renders seldom contain comments.
         from currantcart.settings import jsonc
 
         values = jsonc.parse_text(text.decode(), source=source, code=code)
--- a/src/currantcart/proxy/shutdown.py
+++ b/src/currantcart/proxy/shutdown.py
@@ -1,4 +1,4 @@
-"""Leaving without cutting a request."""
+"""Graceful shutdown of a node: drains requests before the process ends."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 
 from currantcart.proxy import context as proxy_context
 
-LEAVE_MS = 1_900.0
-"""Time for which a node that drains still takes requests for its target."""
-STOP_TAKING_MS = 2_300.0
-"""Time after which a node that drains takes no more requests of callers.
+SERVE_TARGET_MS = 1_900.0
+"""Time for which a draining node still accepts requests for its target."""
+SERVE_CALLERS_MS = 2_300.0
+"""Time after which a draining node rejects new requests of callers.
 
-The platform asks at a steady pace and takes a node out after two misses.
+The platform probes readiness at a fixed interval and removes a node after two
+failed probes; until then it sends callers here.
 """
+# Part of the grace period that is reserved for closing the node.
 GRACE_MARGIN_MS = 700.0
 TICK_SECONDS = 0.05
 
@@ -25,20 +27,21 @@
     publish: Callable[[], None],
     close_idle: Callable[[], None],
 ) -> int:
-    """Leaves without cutting a request.
+    """Drains the node's requests within the grace period.
 
-    Readiness fails first. Callers are sent on with the answers they get;
-    connections are closed only once the platform has had the time to take
-    this node out, and the process goes when nothing runs.
+    Readiness fails first, and each response to a caller closes its connection.
+    New requests are rejected and idle connections closed only after the
+    platform has had time to remove this node. The function returns as soon as
+    no request is in progress after that.
 
     Args:
-      context: What the parts of the node share.
-      running: Returns how many requests are on their way or at the target.
-      publish: Tells peers this node's state.
-      close_idle: Closes callers' connections on which nothing runs.
+      context: Shared state of the node.
+      running: Returns how many requests are in progress, here or at the target.
+      publish: Sends this node's status to its peers.
+      close_idle: Closes callers' connections without a request in progress.
 
     Returns:
-      How many requests were still running at the end of the time.
+      How many requests were still in progress at the end of the grace period.
     """
     context.draining = True
     started = context.now
@@ -47,10 +50,10 @@
     end = started + context.settings.bounds.grace_seconds * 1_000
     end -= GRACE_MARGIN_MS
     while context.now < end:
-        if not context.leaving and context.now - started >= LEAVE_MS:
+        if not context.leaving and context.now - started >= SERVE_TARGET_MS:
             context.leaving = True
             publish()
-        if context.now - started >= STOP_TAKING_MS:
+        if context.now - started >= SERVE_CALLERS_MS:
             context.closing = True
             close_idle()
             if not running():
--- a/src/currantcart/proxy/state_log.py
+++ b/src/currantcart/proxy/state_log.py
@@ -1,4 +1,4 @@
-"""Logs changes of state that no single request shows."""
+"""Logs state changes that are not visible in the log of a single request."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 from currantcart.workspace import quota
 
 EXHAUSTED_MS = 1_000.0
-"""Time after a refusal for which a rate or a budget counts as exhausted.
+"""Time for which a rate or a budget counts as exhausted after a refusal.
 
-Under a steady surplus either has something left again and again.
+Under sustained excess demand either has something left again between refusals;
+without this hold time the log would alternate between exhausted and restored.
 """
 
 
@@ -19,10 +20,11 @@
     """Logs when freshness, rates and retry budgets are exhausted or restored.
 
     Attributes:
-      budgets: Retry budgets by service; whoever made this adds to it.
-      fresh: Whether keys could be served at the last look.
-      over_rate: Workspaces that were over their rate at the last look.
-      spent: Services without repeats left at the last look.
+      budgets: Retry budgets by service; the owner adds entries to it.
+      fresh: Whether the configuration was fresh enough to serve requests with
+        keys, at the last check.
+      over_rate: Workspaces whose rate was exhausted at the last check.
+      spent: Services whose retry budget was exhausted at the last check.
     """
 
     def __init__(
@@ -40,13 +42,13 @@
         self.spent: set[str] = set()
 
     def log_changes(self, now: float) -> None:
-        """Logs what has changed since the last time."""
+        """Logs all changes since the last call."""
         self.log_freshness(now)
         self.log_rates(now)
         self.log_budgets(now)
 
     def log_freshness(self, now: float) -> None:
-        """Logs that keys can, or can no longer, be shown to be current."""
+        """Logs that the freshness needed to serve keys was lost or regained."""
         known = self.context.freshness
         bound_ms = self.context.settings.bounds.revoke_seconds * 1_000
         fresh = known.may_serve_keys(now, bound_ms=bound_ms)
@@ -60,8 +62,8 @@
         )
 
     def log_rates(self, now: float) -> None:
-        """Logs workspaces that have come to the end of their rate, or back."""
-        present = refused_lately(self.quotas.buckets, now)
+        """Logs workspaces whose rate was exhausted or is available again."""
+        present = recently_refused(self.quotas.buckets, now)
         for name in sorted(present.keys() - self.over_rate):
             bucket = present[name]
             self.context.log.event(
@@ -77,8 +79,8 @@
         self.over_rate = set(present)
 
     def log_budgets(self, now: float) -> None:
-        """Logs services whose repeats are used up, or are there again."""
-        present = refused_lately(self.budgets, now)
+        """Logs services whose retry budget is exhausted or available again."""
+        present = recently_refused(self.budgets, now)
         for name in sorted(present.keys() - self.spent):
             self.context.log.event(
                 "budget_exhausted",
@@ -91,19 +93,25 @@
         self.spent = set(present)
 
 
-class Refusing(Protocol):
-    """What refuses when it has nothing left."""
+class Limiter(Protocol):
+    """A rate or budget that records its last refusal.
+
+    Attributes:
+      refused_at: Time of the last refusal, on the node's clock.
+    """
 
     refused_at: float
 
 
-Held = TypeVar("Held", bound=Refusing)
+LimiterT = TypeVar("LimiterT", bound=Limiter)
 
 
-def refused_lately(all_: dict[str, Held], now: float) -> dict[str, Held]:
-    """Returns those that had nothing left for one that asked lately."""
+def recently_refused(
+    limiters: dict[str, LimiterT], now: float
+) -> dict[str, LimiterT]:
+    """Returns the limiters that refused within the last `EXHAUSTED_MS`."""
     return {
-        name: held
-        for name, held in all_.items()
-        if now - held.refused_at < EXHAUSTED_MS
+        name: limiter
+        for name, limiter in limiters.items()
+        if now - limiter.refused_at < EXHAUSTED_MS
     }
--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -1,4 +1,4 @@
-"""Builds the statuses sent to peers, and applies those received."""
+"""Builds the statuses sent to peers and applies those received from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def whole(milliseconds: float) -> float:
-    """Returns a time without its fraction, which compresses badly."""
+    """Returns a time rounded down, because fractions compress poorly."""
     if math.isinf(milliseconds):
         return milliseconds
     return math.floor(milliseconds)
@@ -28,35 +28,36 @@
         self,
         context: proxy_context.Context,
         *,
-        own_guard: guard.Guard,
+        local_guard: guard.Guard,
         quotas: quota.Quotas,
         record: target_record.TargetRecord,
         feed: config_feed.ConfigFeed,
-        on_heard: Callable[[], None],
-        on_left: Callable[[], None],
+        on_status: Callable[[], None],
+        on_target_left: Callable[[], None],
     ) -> None:
-        """Sets it up.
+        """Initializes the component; `peers` is set later by the node.
 
         Args:
-          context: What the parts of the node share.
-          own_guard: The guard of the own target.
-          quotas: Rates of workspaces.
-          record: What the own target said last.
-          feed: The configuration.
-          on_heard: Called with each status of a peer.
-          on_left: Called when a peer knew that the own target leaves.
+          context: Shared state of the node.
+          local_guard: Guard of the local target.
+          quotas: Rate limits of workspaces.
+          record: Last report of the local target.
+          feed: Source of the configuration.
+          on_status: Called for each status received from a peer.
+          on_target_left: Called when a peer's status reports that the local
+            target is leaving and this node did not know.
         """
         self.context = context
-        self.guard = own_guard
+        self.guard = local_guard
         self.quotas = quotas
         self.record = record
         self.feed = feed
-        self.on_heard = on_heard
-        self.on_left = on_left
+        self.on_status = on_status
+        self.on_target_left = on_target_left
         self.peers: peers_module.Peers | None = None
 
     def status_for(self, item: link.Link) -> frames.Status:
-        """Returns the status for a stream."""
+        """Returns the status to send on a stream."""
         assert self.peers is not None
         now = self.context.now
         known = self.context.freshness
@@ -71,21 +72,21 @@
             left=self.peers.left.get(item.peer.instance) if item.peer else None,
         )
 
-    def status_heard(
+    def apply_status(
         self, peer: peer_module.Peer, item: link.Link, status: frames.Status
     ) -> None:
-        """Takes a peer's status."""
-        self.on_heard()
+        """Applies a status received from a peer."""
+        self.on_status()
         if status.left and self.record.hear_left(*status.left):
-            self.guard.refuse_target()
-            self.on_left()
+            self.guard.mark_target_leaving()
+            self.on_target_left()
         self.feed.status_heard(peer, item, status)
-        self.counts_heard(peer, status.counts)
+        self.apply_counts(peer, status.counts)
 
-    def counts_heard(
+    def apply_counts(
         self, peer: peer_module.Peer, counts: dict[str, int]
     ) -> None:
-        """Takes what a peer has admitted."""
+        """Applies a peer's counts of admitted requests to the rate limits."""
         self.quotas.hear(
             peer.member.process,
             counts,
--- a/src/currantcart/proxy/targets/__init__.py
+++ b/src/currantcart/proxy/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The target beside this node: its queue, its requests, its reports."""
+"""The local target of a node: its queue, its requests and its reports."""
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -1,4 +1,4 @@
-"""The guard: the only one that hands requests to the target beside it."""
+"""Admission to the local target; all requests to it pass through the guard."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 from currantcart.proxy.targets import target_exchange
 
 LATE_MS = 40.0
-"""Time left below which a request isn't handed to the target any more."""
+"""Time left below which a request to the target is refused."""
 SWEEP_SECONDS = 0.02
+# Latency objective assumed before the first request.
 OBJECTIVE_MS = 300.0
+# Weight of each request's objective in the moving average.
 OBJECTIVE_SMOOTHING = 0.02
 
 
@@ -25,12 +27,20 @@
 
     Attributes:
       target_id: The target's id; empty while none is known.
-      born: Start of its incarnation, in milliseconds since 1970.
-      slot_count: Requests that it says it runs at once.
-      ready: Whether it takes requests.
-      queue: Its slots and the queue before them.
-      running: Requests that have a slot, by identity.
-      by_request: The same, by the id of the request.
+      born: Incarnation of the target: start time of its process, in
+        milliseconds since 1970.
+      slot_count: Requests that the target runs concurrently, as it reports.
+      ready: Whether the target accepts requests.
+      cold_until: End of the target's warm-up, on the node's clock.
+      queue: The target's slots and the queue of requests that wait for one.
+      running: Requests that hold a slot, by object identity.
+      by_request: The same requests, by request id.
+      exchange: Connections to the target.
+      gauge: Overload level of the target.
+      objective_ms: Moving average of the requests' latency objectives.
+      called_pressure: Returns the pressure of the services that the target
+        calls; set by the node.
+      sweeping: Timer of the next sweep; None while no request waits.
     """
 
     def __init__(self, context: proxy_context.Context) -> None:
@@ -59,9 +69,18 @@
         cold_ms: float,
         born: int,
     ) -> None:
-        """Takes what the target says of itself."""
+        """Applies a report of the target and starts requests that wait.
+
+        Args:
+          target_id: Id of the target.
+          slot_count: Requests that it runs concurrently.
+          ready: Whether it accepts requests; if not, those that wait are
+            refused.
+          cold_ms: Remaining warm-up time.
+          born: Start of its incarnation, in milliseconds since 1970.
+        """
         if target_id != self.target_id:
-            self.exchange.forget_target()
+            self.exchange.reset()
         self.target_id = target_id
         self.born = born
         self.slot_count = slot_count
@@ -72,13 +91,16 @@
             self.refuse_waiting("target_leaving")
         self.run_waiting()
 
-    def refuse_target(self) -> None:
-        """Takes that the target leaves, from another source than itself."""
+    def mark_target_leaving(self) -> None:
+        """Stops admission to a target that leaves, as another source reports.
+
+        The sources are peers and the record of the previous process.
+        """
         self.ready = False
         self.refuse_waiting("target_leaving")
 
     def state(self) -> frames.TargetState:
-        """Returns the target's state as peers are told it."""
+        """Returns the target's state as published to peers."""
         return frames.TargetState(
             target_id=self.target_id,
             ready=self.ready and not self.context.leaving,
@@ -92,17 +114,21 @@
         )
 
     def pressure(self) -> pressure.Pressure:
-        """Returns how full the target and the services it calls are."""
-        own: pressure.Pressure = {}
+        """Returns the overload of the target and of the services it calls."""
+        local: pressure.Pressure = {}
         if self.gauge.level >= pressure.LEAST:
-            own[self.context.settings.service] = round(self.gauge.level, 3)
-        return pressure.strongest([own, self.called_pressure()])
+            local[self.context.settings.service] = round(self.gauge.level, 3)
+        return pressure.strongest([local, self.called_pressure()])
 
     def update_gauge(self) -> bool:
-        """Moves the gauge; returns whether peers should hear of it soon."""
+        """Updates the overload level.
+
+        Returns:
+          Whether the change is large enough to be published at once.
+        """
         if not self.ready:
-            # Nothing is known of a target that isn't there; its silence must
-            # not read as being full.
+            # The load of a target that is not ready is unknown and must not
+            # count as overload.
             self.gauge.level = 0.0
             return False
         before = self.gauge.level
@@ -124,11 +150,11 @@
 
     @property
     def busy(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self.queue.running + self.queue.waiting
 
     def load(self) -> dict[str, int]:
-        """Returns running and waiting requests and slots, for the log."""
+        """Returns the numbers of running and waiting requests and of slots."""
         return {
             "running": self.queue.running,
             "waiting": self.queue.waiting,
@@ -142,10 +168,19 @@
         expires_at: float,
         reply: job_module.ReplyTo,
     ) -> job_module.Job:
-        """Takes a request with its whole body."""
+        """Starts, queues or refuses a request.
+
+        Args:
+          opening: The request with its complete body.
+          expires_at: Deadline of the request, on this node's clock.
+          reply: Receives the outcome, possibly before this method returns.
+
+        Returns:
+          The request, for `cancel`.
+        """
         now = self.context.now
         job = job_module.Job(opening, expires_at, now, reply)
-        reason = self.reason_against(job, now)
+        reason = self.refusal_reason(job, now)
         if reason:
             self.refuse(job, reason)
             return job
@@ -171,12 +206,12 @@
             self.sweeping = self.loop.call_later(SWEEP_SECONDS, self.sweep)
         return job
 
-    def reason_against(self, job: job_module.Job, now: float) -> str:
-        """Returns why a request can't be taken; empty when it can.
+    def refusal_reason(self, job: job_module.Job, now: float) -> str:
+        """Returns why a request cannot run; empty if it can.
 
-        The time is checked here, where the request would start: one that
-        was held up on its way must not start after its caller was told that
-        it never will.
+        The deadline is checked at the point where the request would start: a
+        delayed request must not start after its caller has received the
+        response that it did not run.
         """
         if not self.ready:
             return "no_target"
@@ -187,18 +222,23 @@
         return ""
 
     def start(self, job: job_module.Job) -> None:
-        """Hands a request that has a slot to the target."""
+        """Sends a request that holds a slot to the target."""
         self.running[id(job)] = job
         self.by_request[job.opening.request_id] = job
         self.exchange.start(job)
 
     def lineage_of(self, request_id: str) -> lineage.Lineage:
-        """Returns what a call of the own target has of the request above it."""
+        """Returns the lineage of a call that the local target makes.
+
+        Args:
+          request_id: Id of the call, built from the id of the request that
+            makes it.
+        """
         parent = self.by_request.get(lineage.parent_id(request_id))
         return parent.lineage() if parent is not None else lineage.UNKNOWN
 
     def cancel(self, job: job_module.Job) -> None:
-        """Ends a request that nobody waits for."""
+        """Cancels a request whose caller no longer waits for it."""
         if job.reply is None:
             return
         job.reply = None
@@ -208,11 +248,14 @@
         if ticket.started_at < 0:
             self.queue.withdraw(ticket)
             return
-        self.exchange.drop(job)
+        self.exchange.abort(job)
         self.free(job)
 
     def free(self, job: job_module.Job) -> None:
-        """Frees the slot of a request, once, and lets the next one start."""
+        """Releases a request's slot and starts the next request.
+
+        Does nothing if the slot was released before.
+        """
         if self.running.pop(id(job), None) is None:
             return
         self.by_request.pop(job.opening.request_id, None)
@@ -221,7 +264,7 @@
         self.run_waiting()
 
     def run_waiting(self) -> None:
-        """Starts requests that wait, while there are slots."""
+        """Starts waiting requests while slots are free."""
         if not self.ready:
             return
         now = self.context.now
@@ -230,7 +273,7 @@
             if ticket is None:
                 return
             job = ticket.item
-            reason = self.reason_against(job, now)
+            reason = self.refusal_reason(job, now)
             if reason:
                 self.queue.forfeit(ticket, now)
                 self.refuse(job, reason)
@@ -240,7 +283,13 @@
     def refuse(
         self, job: job_module.Job, code: str, *, at_target: bool = False
     ) -> None:
-        """Tells that a request did not run and never will."""
+        """Replies that a request did not run and will not run.
+
+        Args:
+          job: The request.
+          code: Reason of the refusal.
+          at_target: Whether the target refused it, rather than this guard.
+        """
         reply, job.reply = job.reply, None
         if reply is None:
             return
@@ -257,14 +306,14 @@
         reply.refused(code, at_target=at_target, retry_after_ms=after)
 
     def refuse_waiting(self, code: str) -> None:
-        """Refuses all requests that wait."""
+        """Refuses all waiting requests."""
         for _, _, ticket in list(self.queue.heap):
             if not ticket.gone:
                 self.queue.withdraw(ticket)
                 self.refuse(ticket.item, code)
 
     def sweep(self) -> None:
-        """Refuses requests that have waited for too long."""
+        """Refuses requests that have exceeded their longest wait."""
         self.sweeping = None
         for ticket in self.queue.overdue(self.context.now):
             self.gauge.note_offer(refused=True)
--- a/src/currantcart/proxy/targets/inbound.py
+++ b/src/currantcart/proxy/targets/inbound.py
@@ -1,4 +1,4 @@
-"""Requests that come from peers for the target beside this node."""
+"""Requests that peers send for the local target."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from currantcart.proxy.targets import guard
 from currantcart.proxy.targets import job as job_module
 
+# Limit of the bytes of bodies that are held for peers.
 ASSEMBLED_BYTES_MAX = 96 * 1024 * 1024
 TRANSIT_MS_MAX = 500.0
-"""Time on the way beyond which a request isn't taken any more.
+"""Transit time above which a request from a peer is refused.
 
-Its caller may have left meanwhile, and the word of that lies behind it in the
-same queue: a link that comes back delivers requests and their cancels at once,
-and all of the requests would be started first.
+The caller may have left meanwhile, and the cancel of the request is queued
+behind it. A link that recovers delivers requests and their cancels together,
+and without this limit all of the requests would be started first.
 """
 
 
@@ -24,10 +25,12 @@
     """A request from a peer.
 
     Attributes:
-      opening: What opened it; its body grows until it is whole.
-      chunks: Parts of the body that came so far.
-      missing: Bytes of the body that are still to come.
-      job: The request at the guard, once its body is whole.
+      inbound: Component that received it.
+      link: Stream that it came on.
+      opening: Frame that opened it; its body is set once complete.
+      chunks: Parts of the body received so far.
+      missing: Bytes of the body not received yet.
+      job: The request at the guard; None until the body is complete.
     """
 
     inbound: Inbound
@@ -37,8 +40,8 @@
     missing: int
     job: job_module.Job | None = None
 
-    def take_chunk(self, chunk: bytes) -> None:
-        """Takes a further part of the body."""
+    def add_chunk(self, chunk: bytes) -> None:
+        """Adds a part of the body; offers the request once it is complete."""
         self.chunks.append(chunk)
         self.missing -= len(chunk)
         self.inbound.held_bytes += len(chunk)
@@ -47,8 +50,8 @@
             self.chunks.clear()
             self.inbound.offer(self)
 
-    def forget(self) -> None:
-        """Takes the request off its stream."""
+    def release(self) -> None:
+        """Removes the request from its stream and releases its memory."""
         self.link.calls.pop(self.opening.call, None)
         self.inbound.held_bytes -= len(self.opening.body) + sum(
             map(len, self.chunks)
@@ -56,8 +59,8 @@
         self.chunks.clear()
 
     def answered(self, status: int, head: bytes, body: bytes) -> None:
-        """Sends the target's answer back."""
-        self.forget()
+        """Sends the target's response to the peer."""
+        self.release()
         number, queue = self.opening.call, self.inbound.guard.queue
         first, more = frames.first_chunk(body)
         self.link.send(
@@ -76,8 +79,8 @@
     def refused(
         self, code: str, *, at_target: bool, retry_after_ms: float
     ) -> None:
-        """Tells that the request did not run and never will."""
-        self.forget()
+        """Notifies the peer that the request did not run and will not run."""
+        self.release()
         self.link.send(
             frames.Refuse(
                 call=self.opening.call,
@@ -90,8 +93,8 @@
         )
 
     def lost(self, code: str) -> None:
-        """Tells that the outcome is unknown."""
-        self.forget()
+        """Notifies the peer that the outcome is unknown."""
+        self.release()
         self.link.send(
             frames.Lost(
                 call=self.opening.call,
@@ -103,40 +106,47 @@
 
 
 class Inbound:
-    """Takes the frames of calls that peers open.
+    """Handles the frames of calls that peers open.
 
     Attributes:
       held_bytes: Bytes of bodies that are held for peers.
     """
 
     def __init__(
-        self, context: proxy_context.Context, own_guard: guard.Guard
+        self, context: proxy_context.Context, local_guard: guard.Guard
     ) -> None:
         self.context = context
-        self.guard = own_guard
+        self.guard = local_guard
         self.held_bytes = 0
 
-    def frame(self, found: link.Link, frame: frames.Frame) -> None:
-        """Takes a frame of a call."""
+    def handle_frame(self, stream: link.Link, frame: frames.Frame) -> None:
+        """Handles a frame of a call on a stream that a peer dialled.
+
+        Raises:
+          errors.StreamError: The frame is a response; on a stream that a peer
+            dialled, only this node responds.
+        """
         if isinstance(frame, frames.Open):
-            self.open(found, frame)
+            self.open(stream, frame)
             return
         if not isinstance(frame, frames.Data | frames.Cancel):
-            raise frames.invalid("an answer to a call that was not opened")
-        arrival = found.calls.get(frame.call)
+            raise frames.invalid(
+                "response frame for a call that was not opened"
+            )
+        arrival = stream.calls.get(frame.call)
         if not isinstance(arrival, Arrival):
             return
         if isinstance(frame, frames.Data):
-            arrival.take_chunk(frame.chunk)
+            arrival.add_chunk(frame.chunk)
         else:
             self.cancel(arrival)
 
-    def open(self, found: link.Link, opening: frames.Open) -> None:
-        """Takes a request; its body may still come."""
-        arrival = Arrival(self, found, opening, [], opening.more)
-        found.calls[opening.call] = arrival
+    def open(self, stream: link.Link, opening: frames.Open) -> None:
+        """Accepts or refuses a request; its body may be incomplete."""
+        arrival = Arrival(self, stream, opening, [], opening.more)
+        stream.calls[opening.call] = arrival
         self.held_bytes += len(opening.body)
-        reason = self.reason_against(found, opening)
+        reason = self.refusal_reason(stream, opening)
         if reason:
             arrival.refused(reason, at_target=False, retry_after_ms=0.0)
         elif opening.more:
@@ -145,22 +155,22 @@
         else:
             self.offer(arrival)
 
-    def reason_against(self, found: link.Link, opening: frames.Open) -> str:
-        """Returns why a request isn't taken; empty when it is."""
+    def refusal_reason(self, stream: link.Link, opening: frames.Open) -> str:
+        """Returns why a request is refused on arrival; empty if it is not."""
         if self.context.leaving:
             return "draining"
         if self.held_bytes > ASSEMBLED_BYTES_MAX:
             return "memory_full"
-        sent_at = found.clock.to_own(opening.sent_ms)
+        sent_at = stream.clock.to_own(opening.sent_ms)
         if self.context.now - sent_at > TRANSIT_MS_MAX:
             return "held_up"
         return ""
 
     def offer(self, arrival: Arrival) -> None:
-        """Offers a whole request to the guard.
+        """Submits a complete request to the guard.
 
-        Its age is counted by the sender's clock: what was held up on the way
-        must not look fresh because it arrives now.
+        Its deadline is computed from the time at which the peer sent it, so
+        that a delay in transit counts against the time left.
         """
         opening = arrival.opening
         sent_at = arrival.link.clock.to_own(opening.sent_ms)
@@ -172,13 +182,13 @@
         )
 
     def cancel(self, arrival: Arrival) -> None:
-        """Ends a request that nobody waits for."""
-        arrival.forget()
+        """Cancels a request whose peer no longer waits for it."""
+        arrival.release()
         if arrival.job is not None:
             self.guard.cancel(arrival.job)
 
-    def link_lost(self, found: link.Link) -> None:
-        """Ends the requests of a peer that can't take answers any more."""
-        for arrival in list(found.calls.values()):
+    def handle_link_lost(self, stream: link.Link) -> None:
+        """Cancels all requests of a stream that was lost."""
+        for arrival in list(stream.calls.values()):
             if isinstance(arrival, Arrival):
                 self.cancel(arrival)
--- a/src/currantcart/proxy/targets/job.py
+++ b/src/currantcart/proxy/targets/job.py
@@ -1,4 +1,4 @@
-"""A request beside its target, and what the target's answer says of it."""
+"""A request at the guard of its target, and the head of the response to it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,28 @@
 from currantcart.proxy import dialect
 from currantcart.proxy.streams import frames
 
+# Statuses with which the not-executed header is trusted.
 COULD_NOT_RUN = frozenset({400, 429, 503})
+# The target is not the expected one and did not run the request.
 MISDIRECTED = 421
 
 
 class ReplyTo(Protocol):
-    """Takes the end of a request at the guard; one of the three is called."""
+    """Receives a request's outcome: one method is called, once.
+
+    None is called for a request that is cancelled.
+    """
 
     def answered(self, status: int, head: bytes, body: bytes) -> None:
-        """Takes the target's whole answer."""
+        """Receives the target's complete response."""
 
     def refused(
         self, code: str, *, at_target: bool, retry_after_ms: float
     ) -> None:
-        """Takes the word that the request did not run and never will."""
+        """Called when the request did not run and will not run."""
 
     def lost(self, code: str) -> None:
-        """Takes that the request may have run and has no answer."""
+        """Called when the request may have run and its response is lost."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -35,13 +40,14 @@
     """A request at the guard.
 
     Attributes:
-      opening: The request, with its whole body.
-      expires_at: When nobody waits for it, on this node's clock.
-      arrived_at: When it came to the guard.
-      reply: Takes its end; None once it was told.
-      ticket: Its place at the target.
-      connection: The connection that carries it.
-      handed_at: When it was written to the target; negative before.
+      opening: The request, with its complete body.
+      expires_at: Deadline, on this node's clock.
+      arrived_at: Time at which the guard received it.
+      reply: Receives the outcome; None once the outcome was reported or the
+        request cancelled.
+      ticket: Its place in the queue or its slot.
+      connection: Connection to the target that carries it.
+      handed_at: Time at which it was written to the target; negative before.
     """
 
     opening: frames.Open
@@ -53,7 +59,7 @@
     handed_at: float = -1.0
 
     def lineage(self) -> lineage.Lineage:
-        """Returns what the calls have that the target makes for it."""
+        """Returns the lineage of the calls that the target makes for it."""
         return lineage.Lineage(
             rank=slots.root_rank(self.opening.priority),
             repeated=self.opening.repeated,
@@ -62,12 +68,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the headers of a target's answer say.
+    """Parsed head of a target's response.
 
     Attributes:
-      request_id: Request that it answers; None when it doesn't say.
-      sealed: Whether it bears the target's seal, or needs none.
-      refused: Whether the target says that it did not run the request.
+      request_id: Id of the request that it answers; None if not given.
+      sealed: Whether it carries the target's seal or, as a response that is
+        not a success, needs none.
+      refused: Whether it states that the target did not run the request.
       head: End-to-end header lines.
     """
 
@@ -80,21 +87,26 @@
 def read_answer(
     response: pool.Response, keys: dialect.HeaderKeys
 ) -> AnswerHead:
-    """Reads what the headers of an answer say."""
+    """Parses the head of a target's response.
+
+    Args:
+      response: The response.
+      keys: Header names of the deployment.
+    """
     request_id: bytes | None = None
     sealed = response.status >= status.NO_SUCCESS
     not_executed = response.status == MISDIRECTED
     lines: list[bytes] = []
     for name, value in response.headers:
-        low = name.lower()
-        if low == keys.request_id:
+        key = name.lower()
+        if key == keys.request_id:
             request_id = value
-        elif low == keys.not_executed:
+        elif key == keys.not_executed:
             not_executed |= response.status in COULD_NOT_RUN
             continue
-        elif low == keys.seal:
+        elif key == keys.seal:
             sealed = True
-        elif low in keys.stripped:
+        elif key in keys.stripped:
             continue
         lines.append(name + b": " + value + b"\r\n")
     return AnswerHead(request_id, sealed, not_executed, b"".join(lines))
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange with the target: a request handed over, its answer or end."""
+"""HTTP exchange with the local target: requests sent, responses received."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 from currantcart.proxy.targets import job as job_module
 
 SLOW_OF_OBJECTIVE = 0.8
-"""Part of the objective beyond which the time at the target is told."""
+"""Share of the objective above which the time at the target is logged."""
 
 
 class Slots(Protocol):
-    """Who gives a request its slot."""
+    """Owner of the target's slots."""
 
-    def reason_against(self, job: job_module.Job, now: float) -> str:
-        """Returns why a request can't be taken; empty when it can."""
+    def refusal_reason(self, job: job_module.Job, now: float) -> str:
+        """Returns why a request cannot run; empty if it can."""
 
     def free(self, job: job_module.Job) -> None:
-        """Frees the slot of a request, once."""
+        """Releases the slot of a request unless it was released before."""
 
     def refuse(
         self, job: job_module.Job, code: str, *, at_target: bool = False
     ) -> None:
-        """Tells that a request did not run and never will."""
+        """Replies that a request did not run and will not run."""
 
     def load(self) -> dict[str, int]:
-        """Returns running and waiting requests and slots, for the log."""
+        """Returns the numbers of running and waiting requests and of slots."""
 
 
 class TargetExchange:
     """Connections to one target and the requests on them.
 
     Attributes:
+      slots: Owner of the target's slots.
       pool: Connections to the target.
-      speed: How long the target works on a request.
+      deadline_line: Template of the deadline header.
+      expected_line: Template of the header with the expected target.
+      speed: Smoothed time that the target works on a request.
     """
 
     def __init__(self, context: proxy_context.Context, slots: Slots) -> None:
@@ -52,32 +55,33 @@
         self.expected_line = f"{dialect.expected}: %s\r\n".encode()
         self.speed = speed.Speed()
 
-    def forget_target(self) -> None:
-        """Starts anew for another target.
+    def reset(self) -> None:
+        """Closes all connections and resets measurements for a new target.
 
-        Connections to the one before carry nothing for this one.
+        Connections to the previous target must not carry requests for the new
+        one.
         """
         self.pool.close()
         self.speed = speed.Speed()
 
     def start(self, job: job_module.Job) -> None:
-        """Hands a request that has a slot to the target."""
+        """Sends a request on a pooled connection or dials a new one."""
         connection = self.pool.take(self.context.now)
         if connection is not None:
             self.hand_over(job, connection)
             return
         self.pool.dial(
             lambda opened: self.dialled(job, opened),
-            lambda reason: self.not_dialled(job, reason),
+            lambda reason: self.dial_failed(job, reason),
         )
 
     def dialled(self, job: job_module.Job, connection: pool.Connection) -> None:
-        """Uses a connection that was opened for a request."""
+        """Sends a request on a newly opened connection if it may still run."""
         now = self.context.now
         if job.reply is None:
             self.pool.give_back(connection, now)
             return
-        reason = self.slots.reason_against(job, now)
+        reason = self.slots.refusal_reason(job, now)
         if reason:
             self.pool.give_back(connection, now)
             self.slots.free(job)
@@ -85,8 +89,8 @@
             return
         self.hand_over(job, connection)
 
-    def not_dialled(self, job: job_module.Job, reason: str) -> None:
-        """Refuses a request for which no connection could be opened."""
+    def dial_failed(self, job: job_module.Job, reason: str) -> None:
+        """Refuses a request because no connection could be opened."""
         if job.reply is None:
             return
         self.context.log.event(
@@ -98,7 +102,7 @@
     def hand_over(
         self, job: job_module.Job, connection: pool.Connection
     ) -> None:
-        """Writes a request to the target."""
+        """Writes a request to a connection to the target."""
         opening, now = job.opening, self.context.now
         job.connection = connection
         job.handed_at = now
@@ -116,12 +120,23 @@
         connection.reader.bodiless = opening.method == "HEAD"
         connection.send(
             b"".join(parts),
-            lambda response: self.take_answer(job, response),
-            lambda reason: self.lose(job, reason),
+            lambda response: self.handle_response(job, response),
+            lambda reason: self.handle_connection_lost(job, reason),
         )
 
-    def take_answer(self, job: job_module.Job, response: pool.Response) -> bool:
-        """Takes an answer; tells whether it is the one to this request."""
+    def handle_response(
+        self, job: job_module.Job, response: pool.Response
+    ) -> bool:
+        """Releases the slot and reports the outcome that a response gives.
+
+        A response without the id of the request or without the target's seal
+        does not prove that the target ran the request; unless it states that
+        the target did not run it, the outcome is then unknown.
+
+        Returns:
+          Whether the response belongs to this request; False if it carries
+          the id of another one.
+        """
         answer = job_module.read_answer(response, self.context.keys)
         shown = answer.request_id
         if shown is not None and shown != job.opening.request_id.encode():
@@ -132,7 +147,7 @@
         if not answer.refused and not (shown is not None and answer.sealed):
             connection.abort()
             self.slots.free(job)
-            self.end_lost(job, "answer_not_sealed")
+            self.report_lost(job, "answer_not_sealed")
             return True
         worked_ms = now - job.handed_at
         self.context.counts.observe("target_seconds", worked_ms)
@@ -150,7 +165,7 @@
         return True
 
     def log_slow(self, job: job_module.Job, now: float) -> None:
-        """Logs where the time of a slow request went."""
+        """Logs how long a slow request waited and ran."""
         self.context.log.event(
             "slow_at_target",
             id=job.opening.request_id,
@@ -160,8 +175,8 @@
             **self.slots.load(),
         )
 
-    def lose(self, job: job_module.Job, reason: str) -> None:
-        """Takes that the connection ended without a whole answer."""
+    def handle_connection_lost(self, job: job_module.Job, reason: str) -> None:
+        """Ends a request whose connection ended before a complete response."""
         job.connection = None
         self.slots.free(job)
         self.context.log.event(
@@ -171,19 +186,19 @@
             reason=reason,
             held_ms=round(self.context.now - job.handed_at),
         )
-        self.end_lost(job, "answer_lost")
+        self.report_lost(job, "answer_lost")
 
-    def end_lost(self, job: job_module.Job, code: str) -> None:
-        """Tells that the outcome of a request is unknown."""
+    def report_lost(self, job: job_module.Job, code: str) -> None:
+        """Replies that the outcome of a request is unknown."""
         reply, job.reply = job.reply, None
         if reply is not None:
             reply.lost(code)
 
-    def drop(self, job: job_module.Job) -> None:
-        """Cuts the connection that carries a request.
+    def abort(self, job: job_module.Job) -> None:
+        """Aborts the connection that carries a request.
 
-        It tells the target to drop the request, and its late answer can't
-        reach another one.
+        This signals the target to cancel the request, and a late response
+        cannot be taken for that of another request.
         """
         if job.connection is not None:
             job.connection.abort()
--- a/src/currantcart/proxy/targets/target_reports.py
+++ b/src/currantcart/proxy/targets/target_reports.py
@@ -1,4 +1,4 @@
-"""What the target beside a node says of itself, and what follows from it."""
+"""Reports of the local target about itself, and their effects."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 from currantcart.proxy.targets import guard
 
 PERSIST_SECONDS_MAX = 0.6
-"""Time for which the answer to a leave waits for the store."""
+"""Longest wait for the store before a leave report is acknowledged."""
 
 
 class TargetReports:
-    """Takes the target's reports.
+    """Handles the target's reports.
 
     Attributes:
-      record: The last report that counted.
+      parse: Parses a report from its path and body.
+      record: The last report that was accepted.
+      publish: Sends this node's status to its peers.
+      hold: Keeps a reference to a running task.
     """
 
     def __init__(
@@ -29,7 +32,7 @@
         *,
         parse: Callable[[str, bytes], target_record.Report],
         record: target_record.TargetRecord,
-        own_guard: guard.Guard,
+        local_guard: guard.Guard,
         registration: registration.Registration,
         publish: Callable[[], None],
         hold: Callable[[asyncio.Task[None]], None],
@@ -37,32 +40,37 @@
         self.context = context
         self.parse = parse
         self.record = record
-        self.guard = own_guard
+        self.guard = local_guard
         self.registration = registration
         self.publish = publish
         self.hold = hold
 
     async def answer(
         self, request: control.ControlRequest
-    ) -> control.ControlAnswer:
-        """Takes a report of the target."""
+    ) -> control.ControlResponse:
+        """Handles the HTTP request that carries a report of the target."""
         try:
             report = self.parse(request.path, request.body)
         except errors.CurrantcartError as error:
             self.context.log.event("report_unreadable", detail=error.detail)
-            return control.ControlAnswer(400)
+            return control.ControlResponse(400)
         if report.service and report.service != self.context.settings.service:
             self.context.log.event(
                 "report_of_another_service",
                 target=report.target_id,
                 service=report.service,
             )
-            return control.ControlAnswer(400)
-        await self.take(report)
-        return control.ControlAnswer(200, b"{}", "application/json")
+            return control.ControlResponse(400)
+        await self.apply(report)
+        return control.ControlResponse(200, b"{}", "application/json")
 
-    async def take(self, report: target_record.Report) -> None:
-        """Believes a report, if it counts, and has the peers know."""
+    async def apply(self, report: target_record.Report) -> None:
+        """Applies a report unless it is outdated, and publishes changes.
+
+        The report of a target that leaves is also written to the store before
+        this method returns, if that takes no longer than
+        `PERSIST_SECONDS_MAX`.
+        """
         before = self.record.last
         if not self.record.take(report, wall_ms=self.context.clock.wall()):
             self.context.log.event(
@@ -101,36 +109,39 @@
         self.publish()
         self.registration.mark_dirty()
         if not ready:
-            # The word that it leaves must outlive this process, and binds
-            # from the acknowledgement on.
+            # An acknowledged leave is binding and must survive a restart of
+            # this process.
             await self.persist()
 
     async def persist(self) -> None:
-        """Writes the entry now, but holds the answer only for so long."""
+        """Writes the node's entry to the store, waiting a limited time.
+
+        The write continues in the background after that.
+        """
         work = self.context.loop.create_task(self.registration.guarded_write())
         self.hold(work)
         await asyncio.wait([work], timeout=PERSIST_SECONDS_MAX)
 
-    async def take_first(self) -> None:
-        """Takes the report that came before the store could be read."""
+    async def apply_first(self) -> None:
+        """Applies a report that was received before the store was read."""
         first, self.record.first = self.record.first, None
         if first is not None:
-            await self.take(first)
+            await self.apply(first)
 
-    def restored(self) -> None:
-        """Takes that the process before knew the target to be leaving.
+    def apply_restored(self) -> None:
+        """Stops admission if the previous process recorded a leave.
 
-        Reports that were late on their way may have shown it as ready since.
+        Delayed reports may have marked the target as ready since the restart.
         """
         last = self.record.last
         if last is not None and last.phase is not target_record.Phase.READY:
-            self.guard.refuse_target()
+            self.guard.mark_target_leaving()
 
     def use_restored(self) -> None:
-        """Uses the target that the process before knew, until it reports.
+        """Admits to the target that the previous process recorded as ready.
 
-        A target reports each second or two; without this its slots would
-        stand empty for that long after each restart of its node.
+        A target reports every one or two seconds. Without this its slots would
+        stay idle for that long after each restart of the node.
         """
         last = self.record.last
         if self.guard.target_id:
