--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -1,4 +1,4 @@
-"""Whole nodes: a request from its caller to a target and back."""
+"""Complete nodes: requests from callers to targets, restarts and leaves."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from tests.fakes import mesh as fake_mesh
 
 
-async def test_a_request_is_served_by_the_own_target(
+async def test_a_request_is_served_by_the_local_target(
     mesh: fake_mesh.Mesh,
 ) -> None:
     place = await mesh.add("a")
     await mesh.settle()
     reply = await mesh.ask(place, fake_mesh.request())
     assert (reply.status, reply.body) == (200, b"done")
-    seen = place.target.seen[0]
-    assert seen.headers["currantcart-tenant"] == "mill"
-    assert seen.headers["currantcart-caller-service"] == "grades"
-    assert seen.headers["currantcart-expect-instance"] == "t-a"
-    assert "api-key" not in seen.headers
-    assert 0 < int(seen.headers["currantcart-deadline-ms"]) <= 4_000
+    received = place.target.seen[0]
+    assert received.headers["currantcart-tenant"] == "mill"
+    assert received.headers["currantcart-caller-service"] == "grades"
+    assert received.headers["currantcart-expect-instance"] == "t-a"
+    assert "api-key" not in received.headers
+    assert 0 < int(received.headers["currantcart-deadline-ms"]) <= 4_000
 
 
 async def test_a_request_reaches_a_peers_target(mesh: fake_mesh.Mesh) -> None:
@@ -33,12 +33,15 @@
     await mesh.settle()
     reply = await mesh.ask(front, fake_mesh.request())
     assert reply.status == 200
-    seen = back.target.seen[0]
-    assert seen.headers["currantcart-caller-service"] == "other"
+    received = back.target.seen[0]
+    assert received.headers["currantcart-caller-service"] == "other"
 
 
 async def test_a_long_body_arrives_whole(mesh: fake_mesh.Mesh) -> None:
-    """A body that is longer than one frame goes in parts between nodes."""
+    """Bodies longer than one frame are split between nodes.
+
+    The sizes lie on both sides of the frame limit and its multiples.
+    """
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -52,10 +55,10 @@
         assert back.target.seen[-1].body == body
 
 
-async def test_a_node_that_starts_again_uses_its_target_at_once(
+async def test_a_restarted_node_uses_its_target_at_once(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A node is started anew while its target goes on."""
+    """A restarted node must not wait for the next report of its target."""
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -64,10 +67,14 @@
     assert (await mesh.ask(front, fake_mesh.request())).status == 200
 
 
-async def test_a_leave_outlives_the_process_that_acknowledged_it(
+async def test_a_leave_survives_a_restart_of_the_node(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A target says that it leaves, then its node is killed and starts."""
+    """A target must get no requests after its leave was acknowledged.
+
+    Its node is killed and restarted, and then receives a delayed report that
+    the target is ready.
+    """
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -79,10 +86,14 @@
     assert not back.target.seen
 
 
-async def test_a_leave_that_the_store_did_not_take_is_kept_by_the_peers(
+async def test_a_leave_that_was_not_stored_is_restored_from_peers(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """The store is away as the leave is acknowledged, and back later."""
+    """A target must get no requests after its leave was acknowledged.
+
+    The store is unavailable when the leave is acknowledged, and available
+    again when the killed node restarts.
+    """
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -99,7 +110,7 @@
 async def test_a_cancel_goes_to_where_the_request_is(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """The own guard refuses a request, and a peer's target runs it."""
+    """The local guard refuses a request, and a peer's target runs it."""
     front = await mesh.add("a", slots=1)
     back = await mesh.add("b", domain="b")
     back.target.work_seconds = front.target.work_seconds = 3.0
@@ -114,16 +125,20 @@
     second = await mesh.connect(front)
     second.send(fake_mesh.request(request_id="second"))
     await mesh.settle(0.3)
-    assert [seen.request_id for seen in back.target.seen] == ["second"]
+    assert [item.request_id for item in back.target.seen] == ["second"]
     second.leave()
     await mesh.settle(0.3)
     assert back.target.dropped == 1
 
 
-async def test_a_late_write_does_not_bring_a_target_back_that_has_left(
+async def test_a_delayed_write_does_not_revert_a_leave(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """The store does a write without an answer, seconds after a newer one."""
+    """A target that has left must not be restored as ready.
+
+    The store gives no answer to the write of a ready report and executes it
+    seconds later, after the newer write of the leave.
+    """
     front = await mesh.add("a", service="other")
     back = await mesh.add("b", report=False)
     await mesh.settle()
@@ -142,10 +157,13 @@
     assert not back.target.seen
 
 
-async def test_a_node_that_could_not_read_writes_over_no_acknowledged_leave(
+async def test_a_node_that_cannot_read_does_not_overwrite_a_leave(
     mesh: fake_mesh.Mesh, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store loses the new process's first reads and takes its writes."""
+    """A restarted node must keep the leave that its predecessor recorded.
+
+    The store fails the new process's first reads and executes its writes.
+    """
     back = await mesh.add("b")
     await mesh.settle()
     assert await mesh.report(back, state="draining") == 200
@@ -168,23 +186,23 @@
     "value",
     [b"\xff\x00", b"{}", b'{"member": 7}', b'{"member": {"instance": 1}}'],
 )
-async def test_an_entry_that_another_writer_spoilt_is_left_out(
+async def test_a_malformed_entry_is_skipped(
     mesh: fake_mesh.Mesh, value: bytes
 ) -> None:
-    """One entry that can't be read must not hide the others."""
+    """One malformed entry in the store must not hide the others."""
     mesh.store.operate(f"{names.NODES_PREFIX}spoilt", value)
     front = await mesh.add("a", service="other")
     await mesh.add("b")
     await mesh.settle()
     assert (await mesh.ask(front, fake_mesh.request())).status == 200
-    told = [line for line in mesh.lines if "event=entry_unreadable" in line]
-    assert f"key={names.NODES_PREFIX}spoilt" in told[0]
+    logged = [line for line in mesh.lines if "event=entry_unreadable" in line]
+    assert f"key={names.NODES_PREFIX}spoilt" in logged[0]
 
 
-async def test_fields_that_are_new_in_an_entry_are_read_past(
+async def test_unknown_fields_of_an_entry_are_ignored(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """A newer node writes more than this one knows."""
+    """A node of a newer version may write fields that this one lacks."""
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -199,10 +217,10 @@
     assert (await mesh.ask(front, fake_mesh.request())).status == 200
 
 
-async def test_a_stale_list_takes_no_peer_away_that_is_heard(
+async def test_a_stale_list_removes_no_responsive_peer(
     mesh: fake_mesh.Mesh,
 ) -> None:
-    """Cheap reads of the store are seconds behind, or far more."""
+    """Stale reads of the store may lag by seconds or far more."""
     front = await mesh.add("a", service="other")
     await mesh.settle()
     mesh.store.behind = set(mesh.store.items)
@@ -213,9 +231,10 @@
     assert (await mesh.ask(front, fake_mesh.request())).status == 200
 
 
-async def test_a_peer_tells_how_long_its_process_lives(
+async def test_a_peer_reports_the_start_time_of_its_process(
     mesh: fake_mesh.Mesh,
 ) -> None:
+    """After a restart, peers must use the start time of the new process."""
     first = await mesh.add("a")
     second = await mesh.add("b")
     await mesh.settle(3.0)
--- a/tests/proxy/test_operations_page.py
+++ b/tests/proxy/test_operations_page.py
@@ -1,4 +1,7 @@
-"""The walks of docs/OPERATIONS.md, from a request's id to its cause."""
+"""Diagnoses described in docs/OPERATIONS.md, from a request id to its cause.
+
+Every log event of a diagnosed request has to be described on that page.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +14,17 @@
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "OPERATIONS.md"
 
 
-def way(mesh: fake_mesh.Mesh, request_id: str) -> dict[str, timeline.Line]:
-    """Returns the lines on a request by event, as `explain` gathers them."""
+def explain(mesh: fake_mesh.Mesh, request_id: str) -> dict[str, timeline.Line]:
+    """Returns a request's log lines by event, as `explain` collects them."""
     lines = filter(None, map(timeline.parse, mesh.lines))
-    found = timeline.way_of(request_id, lines)
+    matching = timeline.way_of(request_id, lines)
     page = PAGE.read_text()
-    for line in found:
+    for line in matching:
         assert line.event in page
-    return {line.event: line for line in found}
+    return {line.event: line for line in matching}
 
 
-async def test_a_fee_whose_outcome_is_unknown(mesh: fake_mesh.Mesh) -> None:
+async def test_a_payment_with_unknown_outcome(mesh: fake_mesh.Mesh) -> None:
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -33,14 +36,14 @@
     )
     assert reply.status == 502
     await mesh.settle(0.2)
-    lines = way(mesh, "fee")
+    lines = explain(mesh, "fee")
     assert lines["request_failed"].values["outcomes"] == "unknown"
     holder = lines["request_failed"].values["had_it"]
     assert lines["answer_lost"].instance == holder == "b"
     assert "closed" in lines["answer_lost"].values["reason"]
 
 
-async def test_a_refusal_though_there_was_room(mesh: fake_mesh.Mesh) -> None:
+async def test_a_refusal_by_a_full_queue(mesh: fake_mesh.Mesh) -> None:
     front = await mesh.add("a", service="other")
     back = await mesh.add("b", slots=1)
     await mesh.settle()
@@ -54,14 +57,14 @@
     reply = await mesh.ask(front, fake_mesh.request(request_id="refused"))
     assert reply.status == 503
     await mesh.settle(0.2)
-    lines = way(mesh, "refused")
+    lines = explain(mesh, "refused")
     assert lines["request_failed"].values["code"] == "queue_full"
     candidates = lines["request_failed"].values["candidates"]
     assert candidates.startswith("b:1/1:")
     assert lines["refused_by_guard"].values["running"] == "1"
 
 
-async def test_an_answer_that_came_too_late(mesh: fake_mesh.Mesh) -> None:
+async def test_a_late_response(mesh: fake_mesh.Mesh) -> None:
     front = await mesh.add("a", service="other")
     back = await mesh.add("b")
     await mesh.settle()
@@ -69,7 +72,7 @@
     reply = await mesh.ask(front, fake_mesh.request(request_id="late"))
     assert reply.status == 200
     await mesh.settle(0.2)
-    lines = way(mesh, "late")
+    lines = explain(mesh, "late")
     assert lines["answered_late"].values["had_it"] == "b"
     slow = lines["slow_at_target"].values
     assert int(slow["worked_ms"]) > 1_300
--- a/tests/proxy/test_state_log.py
+++ b/tests/proxy/test_state_log.py
@@ -1,4 +1,4 @@
-"""What a node tells when its beliefs change."""
+"""Log events of a node when its state changes."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from tests.fakes import mesh as fake_mesh
 
 
-def told(mesh: fake_mesh.Mesh, event: str) -> list[str]:
+def logged(mesh: fake_mesh.Mesh, event: str) -> list[str]:
     return [line for line in mesh.lines if f"event={event} " in line + " "]
 
 
-async def test_the_loss_and_return_of_freshness_are_told_once(
+async def test_loss_and_recovery_of_freshness_are_logged_once(
     mesh: fake_mesh.Mesh,
 ) -> None:
     await mesh.add("a")
     await mesh.settle()
-    assert len(told(mesh, "freshness_regained")) == 1
+    assert len(logged(mesh, "freshness_regained")) == 1
     mesh.store.refusing = True
     await mesh.settle(8.0)
-    assert len(told(mesh, "freshness_lost")) == 1
-    assert "version=1" in told(mesh, "freshness_lost")[0]
+    assert len(logged(mesh, "freshness_lost")) == 1
+    assert "version=1" in logged(mesh, "freshness_lost")[0]
     mesh.store.refusing = False
     await mesh.settle(2.0)
-    assert len(told(mesh, "freshness_regained")) == 2
+    assert len(logged(mesh, "freshness_regained")) == 2
 
 
-async def test_a_rate_that_is_exhausted_is_told_until_it_is_not(
+async def test_an_exhausted_rate_is_logged_until_it_recovers(
     mesh: fake_mesh.Mesh,
 ) -> None:
     mesh.store.operate("op/config", fake_mesh.document(2, rate=2.0, burst=4.0))
@@ -34,17 +34,19 @@
     for number in range(12):
         await mesh.ask(place, fake_mesh.request(request_id=f"r{number}"))
     await mesh.settle(0.6)
-    (line,) = told(mesh, "rate_exhausted")
+    (line,) = logged(mesh, "rate_exhausted")
     assert "workspace=mill" in line
     assert "rate=2.0" in line
     metrics = place.node.context.counts.render().decode()
     assert "currantcart_rates_exhausted 1.0" in metrics
     assert "currantcart_budgets_exhausted 0.0" in metrics
     await mesh.settle(2.0)
-    assert len(told(mesh, "rate_regained")) == 1
+    assert len(logged(mesh, "rate_regained")) == 1
 
 
-async def test_the_end_of_a_retry_budget_is_told(mesh: fake_mesh.Mesh) -> None:
+async def test_an_exhausted_retry_budget_is_logged(
+    mesh: fake_mesh.Mesh,
+) -> None:
     front = await mesh.add("a", service="other")
     for name in "bc":
         place = await mesh.add(name)
@@ -53,14 +55,14 @@
     for number in range(60):
         await mesh.ask(front, fake_mesh.request(request_id=f"r{number}"))
     await mesh.settle(0.6)
-    (line,) = told(mesh, "budget_exhausted")
+    (line,) = logged(mesh, "budget_exhausted")
     assert "service=grades" in line
     assert "repeats=" in line
     await mesh.settle(2.0)
-    assert len(told(mesh, "budget_regained")) == 1
+    assert len(logged(mesh, "budget_regained")) == 1
 
 
-async def test_a_caller_that_leaves_is_told_with_what_was_known(
+async def test_a_disconnected_caller_is_logged_with_the_target_in_use(
     mesh: fake_mesh.Mesh,
 ) -> None:
     place = await mesh.add("a")
@@ -71,6 +73,6 @@
     await mesh.settle(0.3)
     caller.leave()
     await mesh.settle(0.2)
-    (line,) = told(mesh, "caller_left")
+    (line,) = logged(mesh, "caller_left")
     assert "id=left" in line
     assert "had_it=a" in line
