--- a/src/currantcart/call/__init__.py
+++ b/src/currantcart/call/__init__.py
@@ -1,1 +1,1 @@
-"""One call and its chain: context, deadline and retry allowance."""
+"""Calls and call chains: context, deadline, retry allowance and budget."""
--- a/src/currantcart/call/active.py
+++ b/src/currantcart/call/active.py
@@ -1,4 +1,4 @@
-"""Calls that run at this node's target, as parents of the target's calls."""
+"""Calls running at this node's target: the parents of the target's calls."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
       key_id: Key of the root call.
       importance: Importance of the root call.
       priority: Order under overload.
-      deadline_ms: On this node's clock.
-      allowance: Retries left to it and below.
-      depth: 0 for a root call.
-      traceparent: Of the hop; empty without a trace.
+      deadline_ms: Deadline, in milliseconds of this node's clock.
+      allowance: Retries left for the call and all calls below it.
+      depth: Depth in the call chain; 0 for a root call.
+      traceparent: W3C trace context of the hop; empty without a trace.
       shed_level: Highest level at which a call below was shed.
-      cancels: Called when the call ends, to end calls below.
+      cancels: Callbacks that cancel the calls below when this call ends.
     """
 
     call_id: str
@@ -44,12 +44,12 @@
     cancels: set[Callable[[], object]] = dataclasses.field(default_factory=set)
 
     def note_shedding(self, level: int) -> None:
-        """Remembers that a call below met overload, for the way back up."""
+        """Records that a call below was shed, to report it upstream."""
         self.shed_level = max(self.shed_level, level)
 
 
 class ActiveCalls:
-    """The table that makes tokens meaningful."""
+    """The active calls that context tokens refer to."""
 
     def __init__(
         self, *, instance: str, incarnation: int, fleet_secret: bytes
@@ -60,7 +60,7 @@
         self.calls: dict[str, ActiveCall] = {}
 
     def begin(self, call: ActiveCall) -> str:
-        """Registers a call and returns the token for its target."""
+        """Registers a call and returns the context token for its target."""
         self.calls[call.call_id] = call
         return token.sign(
             self.key,
@@ -73,13 +73,13 @@
         )
 
     def end(self, call: ActiveCall) -> None:
-        """Forgets a call and cancels what still runs below it."""
+        """Removes a call and cancels the calls still running below it."""
         self.calls.pop(call.call_id, None)
         for cancel in list(call.cancels):
             cancel()
 
     def parent(self, text: str, *, now: float) -> ActiveCall:
-        """Returns the running call that a token names.
+        """Returns the running call that a token identifies.
 
         Raises:
           errors.Refusal: The token is not accepted, or its call has ended.
--- a/src/currantcart/call/attempt.py
+++ b/src/currantcart/call/attempt.py
@@ -1,8 +1,9 @@
-"""The outcome of handing a request over, and all that follows from it.
+"""Outcomes of attempts, and the retries and answers that follow from them.
 
-One place decides whether a request may be tried again and what its caller
-may be told. Told "not run" of a request that runs later, a caller pays twice;
-this table is why that can't happen.
+Whether a request may be retried, and whether its caller may get the answer
+"not run", is decided here alone. A caller that is answered "not run" for a
+request that runs later would send it again, and a payment would be made twice.
+The transitions below rule this out.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of one attempt."""
+    """What is known about one attempt."""
 
     NOT_HANDED_OVER = enum.auto()
     HANDED_OVER = enum.auto()
@@ -23,9 +24,9 @@
 class Event(enum.Enum):
     """What happens to an attempt.
 
-    `REFUSE` is the explicit word of the guard or the target that the request
-    did not run and will not; `LOSE` is any end without that word or a whole
-    answer.
+    `REFUSE` is an explicit statement by the guard or the target that the
+    request did not run and will not run. `LOSE` is any other end without a
+    complete answer.
     """
 
     HAND_OVER = enum.auto()
@@ -47,22 +48,23 @@
 def after(outcome: Outcome, event: Event) -> Outcome:
     """Returns the outcome after an event.
 
-    An event that an outcome doesn't know changes nothing: a refusal that
-    comes after the stream was lost can't make an unknown request "not run",
-    since the answer may have been given on that knowledge already.
+    An event without a transition leaves the outcome unchanged. A refusal that
+    arrives after the stream was lost does not turn "unknown" into "not run",
+    since the caller may already have been answered that the outcome is
+    unknown.
     """
     return TRANSITIONS.get((outcome, event), outcome)
 
 
 class Final(enum.Enum):
-    """The kind of answer of our own that a caller gets."""
+    """Kind of answer that the node gives without one from a target."""
 
     NOT_RUN = enum.auto()
     UNKNOWN = enum.auto()
 
 
 def final_answer(outcomes: list[Outcome], *, idempotent: bool) -> Final:
-    """Decides what a caller whose request gets no target's answer is told.
+    """Returns the kind of answer for a request that no target answered.
 
     Args:
       outcomes: The outcome of each attempt.
@@ -74,7 +76,7 @@
 
 
 def may_retry(outcome: Outcome, *, idempotent: bool) -> bool:
-    """Tells whether a request may be handed over again after an attempt."""
+    """Returns whether a request may be retried after an attempt."""
     if outcome is Outcome.NOT_EXECUTED:
         return True
     return outcome is Outcome.UNKNOWN and idempotent
--- a/src/currantcart/call/deadline.py
+++ b/src/currantcart/call/deadline.py
@@ -1,4 +1,4 @@
-"""Deadlines: the least of caller, patience and parent."""
+"""Deadline of a call: the earliest set by caller, service or parent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
       Milliseconds, or None without the header.
 
     Raises:
-      errors.Refusal: It is no number from above 0 to an hour.
+      errors.Refusal: It is not a number above 0 and up to one hour.
     """
     if text is None:
         return None
@@ -47,6 +47,12 @@
 ) -> float:
     """Returns the deadline of a call on this node's clock.
 
+    Args:
+      now: Milliseconds of the node's clock.
+      timeout_ms: The caller's time-out; None without one.
+      patience_ms: How long callers of the service wait for an answer.
+      parent_deadline_ms: Deadline of the parent call; None for a root call.
+
     Raises:
       errors.Refusal: The parent's deadline has passed.
     """
@@ -59,7 +65,7 @@
         raise errors.Refusal(
             errors.Code.DEADLINE_EXCEEDED,
             errors.Step.DEADLINE,
-            "no time is left for this call",
+            "no time is left before the deadline of the call",
             not_run=True,
         )
     return deadline_ms
--- a/src/currantcart/call/fixed_part.py
+++ b/src/currantcart/call/fixed_part.py
@@ -1,4 +1,4 @@
-"""This node's part of a number of repeats that all nodes share evenly."""
+"""This node's share of the retry slack, which all nodes share evenly."""
 
 from __future__ import annotations
 
@@ -7,46 +7,47 @@
 REMEMBERED_WINDOWS = 6
 """Time for which a larger fleet is remembered, in windows.
 
-A node that is cut off, and nodes that others have lost sight of, still share.
+A node that is cut off, and nodes that others no longer see, still use their
+shares.
 """
 
 
 class FixedPart:
-    """One node's part, by the largest fleet that it has known lately.
+    """One node's share, by the largest fleet that it has seen recently.
 
-    A process takes no part in its first window: the one before it may have
-    used the node's part up, and how many nodes there are isn't known yet.
+    A process has no share in its first window: its predecessor may have used
+    the node's share up, and the number of nodes isn't known yet.
 
     Attributes:
-      window_ms: Length of the window in which the number may be used once.
-      started_at: When this process began to count repeats.
-      known: Numbers of nodes with their times, those that may be the largest
-        of a remembered time, the largest first.
-      nodes: Nodes that are assumed to share the number; 0 for unknown.
-      nodes_at: When that number changed last.
+      window_ms: Length of the window in which the slack may be used once.
+      started_at: When this process began to count retries.
+      sizes: Fleet sizes and when they were observed: those that are, or may
+        become, the largest of the remembered time, in descending order.
+      nodes: Number of nodes assumed to share the slack; 0 for unknown.
+      nodes_at: When that number last changed.
     """
 
     def __init__(self, *, window_ms: float, started_at: float) -> None:
         self.window_ms = window_ms
         self.started_at = started_at
-        self.known: collections.deque[tuple[float, int]] = collections.deque()
+        self.sizes: collections.deque[tuple[float, int]] = collections.deque()
         self.nodes = 0
         self.nodes_at = started_at
 
     def note(self, nodes: int, now: float) -> None:
-        """Takes how many nodes are known, this one included; 0 for unknown."""
-        while self.known and self.known[-1][1] <= nodes:
-            self.known.pop()
-        self.known.append((now, nodes))
+        """Records the number of known nodes, with this one; 0 for unknown."""
+        while self.sizes and self.sizes[-1][1] <= nodes:
+            self.sizes.pop()
+        self.sizes.append((now, nodes))
         oldest = now - REMEMBERED_WINDOWS * self.window_ms
-        while self.known[0][0] < oldest:
-            self.known.popleft()
-        largest = self.known[0][1]
+        while self.sizes[0][0] < oldest:
+            self.sizes.popleft()
+        largest = self.sizes[0][1]
         if largest != self.nodes:
             self.nodes, self.nodes_at = largest, now
 
     def share(self, now: float) -> float:
-        """Returns this node's part, 0 to 1."""
+        """Returns this node's share of the slack, 0 to 1."""
         if not self.nodes or now - self.started_at < self.window_ms:
             return 0.0
         return 1.0 / self.nodes
--- a/src/currantcart/call/lineage.py
+++ b/src/currantcart/call/lineage.py
@@ -1,10 +1,10 @@
-"""Which request a target's own call belongs to.
+"""Which request a call made by a target belongs to.
 
 A call that a target makes while it runs a request is a request like any other,
 with its own id. Clients commonly build that id from the id of the request that
-makes the call, a dot and a part of their own. Where a call's id begins so with
-the id of a request that runs at the target right now, it is that request's
-call. Where it doesn't, nothing is known of it, and nothing is assumed.
+makes the call, a dot and a suffix. If a call's id is built in this way from
+the id of a request that is running at the target now, the call belongs to that
+request. Otherwise nothing is known about its origin, and nothing is assumed.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lineage:
-    """What a request has of the one at which its chain of calls began.
+    """What a request inherits from the root request of its call chain.
 
     Attributes:
-      rank: Rank of that request, 0 is the most urgent; None when unknown.
-      repeated: Whether the request or one above it runs a further time.
+      rank: Rank of the root request; 0 is the most urgent, None is unknown.
+      repeated: Whether the request, or one above it, is a retry.
     """
 
     rank: int | None = None
@@ -31,10 +31,10 @@
 
 
 def root_id(request_id: str) -> str:
-    """Returns the id of the request at which a call's chain begins."""
+    """Returns the id of the root request of a call chain."""
     return request_id.partition(SEPARATOR)[0]
 
 
 def parent_id(request_id: str) -> str:
-    """Returns the id from which a call's id was built; empty for none."""
+    """Returns the id that a request id was built from; empty for none."""
     return request_id.rpartition(SEPARATOR)[0]
--- a/src/currantcart/call/model.py
+++ b/src/currantcart/call/model.py
@@ -1,4 +1,4 @@
-"""A call on its way from the node that took it to a target."""
+"""A call on its way from the node that accepted it to a target."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One call, after all checks of the node that took it.
+    """One call that has passed all checks of the node that accepted it.
 
     Attributes:
       call_id: Unique id of this call.
@@ -18,16 +18,16 @@
       service: Service called.
       method: HTTP method.
       path: Path and query inside the service.
-      workspace: Workspace whose key came with the root call.
-      key_id: That key.
+      workspace: Workspace whose key the root call was made with.
+      key_id: Id of that key.
       importance: Importance of the root call.
       priority: Order under overload.
       idempotent: Whether it may run more than once.
       once: Whether it must be claimed before it runs.
-      deadline_ms: On this node's clock.
-      allowance: Retries for it and all below.
-      depth: 0 for a root call.
-      parent: The running call it belongs to; None for a root call.
+      deadline_ms: Deadline, in milliseconds of this node's clock.
+      allowance: Retries left for the call and all calls below it.
+      depth: Depth in the call chain; 0 for a root call.
+      parent: The running call that made it; None for a root call.
       traceparent: W3C trace context; empty without a trace.
     """
 
--- a/src/currantcart/call/retry.py
+++ b/src/currantcart/call/retry.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is followed by another one."""
+"""Decides whether a failed attempt is followed by another one."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
     Attributes:
       idempotent: Whether the call may run more than once.
-      replayable: Whether its whole body is still here.
-      reroutes: Refusals that were re-routed.
+      replayable: Whether its complete body can still be sent again.
+      reroutes: Refused attempts that were sent to another target.
       retries: Retries made.
     """
 
@@ -61,12 +61,12 @@
         remaining: allowance.Allowance,
         budget: allowance.RetryBudget,
     ) -> Next:
-        """Decides after an attempt that brought no answer.
+        """Decides what follows an attempt that ended without an answer.
 
-        A refusal by an instance that leaves or cannot be reached moved
-        nothing and costs nobody anything, so it goes elsewhere without
-        touching the allowance, at most `REROUTES_MAX` times. Overload is
-        final: a retry into a service that sheds is what keeps it shedding.
+        A refusal by an instance that is leaving or cannot be reached caused
+        no work anywhere. So the call is rerouted to another target without
+        using the allowance, at most `REROUTES_MAX` times. Overload is final:
+        retries to a service that sheds would keep it shedding.
         """
         if not self.replayable or code in FINAL:
             return Next.STOP
@@ -86,7 +86,7 @@
         remaining: allowance.Allowance,
         budget: allowance.RetryBudget,
     ) -> Next:
-        """Decides after a target's answer."""
+        """Decides what follows a target's answer."""
         if status not in RETRIED_STATUSES:
             return Next.STOP
         if not (self.replayable and self.idempotent):
@@ -96,7 +96,7 @@
     def spend(
         self, remaining: allowance.Allowance, budget: allowance.RetryBudget
     ) -> Next:
-        """Uses one retry of both the call and the node, or stops."""
+        """Uses one retry of both the call's and the node's limits, or stops."""
         if remaining.remaining == 0 or not budget.spend():
             return Next.STOP
         remaining.spend()
--- a/src/currantcart/call/token.py
+++ b/src/currantcart/call/token.py
@@ -1,9 +1,9 @@
-"""The signed call context that a target passes on with its own calls.
+"""Signed call context that a target passes on with its own calls.
 
-The token names a call that runs at this instance right now; what belongs to
-the call (workspace, priority, deadline, allowance) stays in the node's table.
-So a token says nothing to the target, dies with its call, and is worthless at
-any other node.
+The token identifies a call that is running at this instance. The data of the
+call (workspace, priority, deadline, allowance) stays in the node's table. So a
+token reveals nothing to the target, becomes invalid when its call ends, and is
+not accepted by any other node.
 """
 
 from __future__ import annotations
@@ -25,13 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claims:
-    """What a token says.
+    """Content of a token.
 
     Attributes:
-      instance: Instance that issued it and alone accepts it.
-      incarnation: Start of that instance; a restarted one accepts none.
-      call_id: The call at whose target it was handed out.
-      expires_ms: Last moment on the issuer's own clock.
+      instance: Instance that issued the token; no other one accepts it.
+      incarnation: Start of that instance; after a restart it no longer
+        accepts the token.
+      call_id: The call for whose target the token was issued.
+      expires_ms: Time from which it is expired, on the issuer's clock.
     """
 
     instance: str
@@ -55,7 +56,7 @@
 
 
 def sign(key: bytes, claims: Claims) -> str:
-    """Returns the token for claims."""
+    """Encodes and signs claims as a token."""
     payload = msgpack.packb(
         (
             claims.instance,
@@ -84,7 +85,8 @@
     """Checks a token and returns its claims.
 
     Raises:
-      errors.Refusal: It is malformed, forged, expired or from elsewhere.
+      errors.Refusal: It is malformed, forged, expired or issued by another
+        instance.
     """
     if len(text) > TOKEN_CHARS_MAX:
         raise invalid("too long")
@@ -94,7 +96,7 @@
         raise invalid("malformed") from None
     mac, payload = raw[:MAC_BYTES], raw[MAC_BYTES:]
     if not hmac.compare_digest(mac, mac_of(key, payload)):
-        raise invalid("signature does not match")
+        raise invalid("the signature does not match")
     claims = Claims(*msgpack.unpackb(payload))
     if claims.instance != instance or claims.incarnation != incarnation:
         raise invalid("issued by another instance")
--- a/tests/call/test_allowance.py
+++ b/tests/call/test_allowance.py
@@ -1,4 +1,4 @@
-"""Retries are divided and never created."""
+"""Tests that retries are divided along a call chain and never created."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 def test_sum_over_the_chain_never_grows(
     start: int, steps: list[tuple[str, int]]
 ) -> None:
-    """Answers come back with any number, also from a faulty peer."""
+    """An answer may return any number of retries if the peer is faulty."""
     held = allowance.Allowance(start)
-    out: list[int] = []
+    lent: list[int] = []
     spent = 0
     for step, number in steps:
         if step == "lend":
-            out.append(held.lend())
-        elif step == "back" and out:
-            held.give_back(number, lent=out.pop())
-        elif step == "lose" and out:
-            out.pop()
+            lent.append(held.lend())
+        elif step == "back" and lent:
+            held.give_back(number, lent=lent.pop())
+        elif step == "lose" and lent:
+            lent.pop()
         elif step == "spend":
             spent += held.spend()
         assert held.remaining >= 0
-        assert held.remaining + sum(out) + spent <= start
+        assert held.remaining + sum(lent) + spent <= start
 
 
 def test_first_call_gets_the_larger_half_and_the_rest_stays() -> None:
@@ -41,7 +41,7 @@
     assert [held.lend() for _ in range(4)] == [2, 1, 0, 0]
 
 
-def test_budget_allows_a_share_of_first_attempts() -> None:
+def test_budget_allows_a_ratio_of_first_attempts() -> None:
     budget = allowance.RetryBudget(ratio=0.1, burst=2)
     assert [budget.spend() for _ in range(3)] == [True, True, False]
     for _ in range(11):
--- a/tests/call/test_attempt.py
+++ b/tests/call/test_attempt.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt, over every event in every state."""
+"""Tests the outcome of an attempt for every event in every state."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 @pytest.mark.parametrize("history", histories(4))
-def test_what_is_known_at_the_end_is_final(
+def test_final_outcome_does_not_change(
     history: tuple[attempt.Event, ...],
 ) -> None:
-    """A late word about an attempt comes after its caller was answered."""
+    """An event may arrive after the caller has been answered."""
     outcome = attempt.Outcome.NOT_HANDED_OVER
     for event in history:
         before, outcome = outcome, attempt.after(outcome, event)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("history", histories(4))
-def test_not_run_is_only_told_of_what_was_not_handed_over_or_was_refused(
+def test_only_attempts_not_handed_over_or_refused_are_not_executed(
     history: tuple[attempt.Event, ...],
 ) -> None:
     outcome = attempt.Outcome.NOT_HANDED_OVER
@@ -48,22 +48,22 @@
 @pytest.mark.parametrize(
     "outcomes", list(itertools.product(OUTCOMES, repeat=3))
 )
-def test_one_unknown_attempt_makes_a_request_that_must_not_repeat_unknown(
+def test_one_unknown_attempt_makes_a_non_idempotent_request_unknown(
     outcomes: tuple[attempt.Outcome, ...],
 ) -> None:
     final = attempt.final_answer(list(outcomes), idempotent=False)
-    sure = all(item is attempt.Outcome.NOT_EXECUTED for item in outcomes)
-    assert (final is attempt.Final.NOT_RUN) == sure
+    not_run = all(item is attempt.Outcome.NOT_EXECUTED for item in outcomes)
+    assert (final is attempt.Final.NOT_RUN) == not_run
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES)
-def test_only_what_surely_did_not_run_is_handed_over_again(
+def test_non_idempotent_request_is_retried_only_if_it_did_not_run(
     outcome: attempt.Outcome,
 ) -> None:
-    again = attempt.may_retry(outcome, idempotent=False)
-    assert again == (outcome is attempt.Outcome.NOT_EXECUTED)
+    retried = attempt.may_retry(outcome, idempotent=False)
+    assert retried == (outcome is attempt.Outcome.NOT_EXECUTED)
 
 
-def test_what_may_repeat_is_handed_over_again_after_a_loss() -> None:
+def test_idempotent_request_is_retried_after_a_lost_attempt() -> None:
     assert attempt.may_retry(attempt.Outcome.UNKNOWN, idempotent=True)
     assert not attempt.may_retry(attempt.Outcome.ANSWERED, idempotent=True)
--- a/tests/call/test_lineage.py
+++ b/tests/call/test_lineage.py
@@ -1,4 +1,4 @@
-"""Which request a call belongs to."""
+"""Tests which request a call belongs to."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     ("request_id", "parent"),
     [("9c4", ""), ("9c4.7b4", "9c4"), ("9c4.7b4.a1", "9c4.7b4"), ("", "")],
 )
-def test_the_parent_is_all_before_the_last_part(
+def test_parent_id_is_everything_before_the_last_part(
     request_id: str, parent: str
 ) -> None:
     assert lineage.parent_id(request_id) == parent
--- a/tests/call/test_retry.py
+++ b/tests/call/test_retry.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt."""
+"""Tests what follows a failed attempt."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         (Code.DEADLINE_EXCEEDED, False, True, True, retry.Next.STOP),
     ],
 )
-def test_decision(
+def test_next_step_after_a_refusal(
     code: Code,
     not_run: bool,
     idempotent: bool,
@@ -58,7 +58,7 @@
     ]
 
 
-def test_node_out_of_budget_keeps_the_allowance() -> None:
+def test_exhausted_node_budget_leaves_the_allowance_unused() -> None:
     attempts = retry.Attempts(idempotent=True, replayable=True)
     held = allowance.Allowance(1)
     following = attempts.after_status(
--- a/tests/call/test_token.py
+++ b/tests/call/test_token.py
@@ -1,4 +1,4 @@
-"""Call contexts are taken from this instance, unchanged, and in time."""
+"""Tests that only valid call contexts of this instance are accepted."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     )
 
 
-def test_own_token_is_taken() -> None:
+def test_token_of_this_instance_is_accepted() -> None:
     assert verify(token.sign(KEY, CLAIMS)) == CLAIMS
 
 
@@ -34,7 +34,7 @@
         ({"incarnation": 8}, "issued by another instance"),
     ],
 )
-def test_token_from_elsewhere_or_of_old_is_refused(
+def test_expired_token_or_one_of_another_instance_is_refused(
     options: dict[str, float | str | int], reason: str
 ) -> None:
     with pytest.raises(errors.Refusal, match=reason):
@@ -42,7 +42,7 @@
 
 
 @given(st.integers(0, 300))
-def test_no_bit_may_change(position: int) -> None:
+def test_token_with_a_changed_bit_is_refused(position: int) -> None:
     raw = bytearray(base64.urlsafe_b64decode(token.sign(KEY, CLAIMS)))
     raw[position % len(raw)] ^= 1 << (position % 8)
     with pytest.raises(errors.Refusal):
@@ -50,7 +50,7 @@
 
 
 @given(st.text(max_size=600))
-def test_any_text_gives_a_coded_refusal(text: str) -> None:
+def test_arbitrary_text_is_refused_with_a_code(text: str) -> None:
     with pytest.raises(errors.Refusal) as caught:
         verify(text)
     assert caught.value.code is errors.Code.CONTEXT_INVALID
