--- a/src/currantcart/fleet/__init__.py
+++ b/src/currantcart/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of its peers, the configuration and its freshness."""
+"""State of the local target and freshness of the configuration."""
--- a/src/currantcart/fleet/freshness.py
+++ b/src/currantcart/fleet/freshness.py
@@ -1,10 +1,10 @@
-"""How current this node's configuration is known to be.
+"""Freshness of this node's configuration.
 
-A withdrawn key must stop on each node within a bound, also on one that is cut
-off. Nothing that a node has tells it that it missed a withdrawal; so keyed
-requests are served only while it can show that its version was the newest a
-short time ago. Ages count from before the store was asked, on a clock that
-counts suspension, and travel from node to node.
+A withdrawn key must stop working on each node within a bound, also on one that
+is cut off. A node cannot detect that it missed a withdrawal. So requests with
+keys are served only while the node can show that its version was the newest a
+short time ago. Ages are measured from before the store was read, on a clock
+that counts suspension, and are passed on from node to node.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 LATER_STAGGER_MS = 100.0
 FIRST_POLL_MS = 400.0
 FIRST_WAIT_MS_MAX = 1_500.0
-FAILING_PACES_MAX = 10
+RETRY_INTERVALS_MAX = 10
 MARGIN_MS = 500.0
 NEVER = float("-inf")
 
 
 @dataclasses.dataclass(slots=True)
 class Freshness:
-    """The moment as of which a version was the newest.
+    """The latest time as of which the node's version is known to be newest.
 
     Attributes:
       version: The version that this node serves; 0 without one.
-      as_of: The moment, on the node's clock.
+      as_of: That time, in milliseconds of the node's clock.
     """
 
     version: int = 0
     as_of: float = NEVER
 
     def confirm(self, version: int, as_of: float) -> None:
-        """Takes the word that a version was the newest at a moment."""
+        """Records that a version was the newest at a given time."""
         if version == self.version and as_of > self.as_of:
             self.as_of = as_of
 
     def take(self, version: int, as_of: float) -> None:
-        """Takes a newer version."""
+        """Records that the node now serves a newer version."""
         self.version = version
         self.as_of = as_of
 
@@ -50,21 +50,24 @@
         return now - self.as_of
 
     def may_serve_keys(self, now: float, *, bound_ms: float) -> bool:
-        """Tells whether a withdrawn key can't be in force any more.
+        """Returns whether requests with keys may be served.
+
+        They may while no key that was withdrawn longer ago than the bound can
+        still be valid in this version.
 
         Args:
           now: Milliseconds of the node's clock.
-          bound_ms: Time within which a withdrawal must be in force.
+          bound_ms: Time within which a withdrawal must take effect.
         """
         return self.age(now) < bound_ms - MARGIN_MS
 
 
-def patience_ms(rank: int) -> float:
-    """Returns how old the word of others may be before a node asks itself.
+def take_over_age_ms(rank: int) -> float:
+    """Returns the configuration age at which a node polls the store itself.
 
-    The first few follow each other closely, so that a reader that fails is
-    replaced before keys stop; a store that answers nobody is not asked by a
-    whole fleet at once.
+    The ages of the first ranks are close together, so that a failing reader
+    is replaced before keys are refused. Those of later ranks are further
+    apart, so that the fleet does not poll a store that is down all at once.
     """
     first = min(max(rank - 1, 0), FIRST_RANKS)
     later = max(rank - 1 - FIRST_RANKS, 0)
@@ -72,8 +75,8 @@
 
 
 def retry_ms(rank: int) -> float:
-    """Returns the time between two reads that bring nothing."""
-    return POLL_MS * min(1 + rank, FAILING_PACES_MAX)
+    """Returns the poll interval of a node whose reads bring no result."""
+    return POLL_MS * min(1 + rank, RETRY_INTERVALS_MAX)
 
 
 def poll_due(
@@ -85,43 +88,45 @@
     is_reader: bool = False,
     failing: bool = False,
 ) -> bool:
-    """Decides whether this node asks the store for the configuration.
+    """Returns whether this node should poll the store for the configuration.
 
-    The first in rank asks at a steady pace and tells the others. The others
-    ask once what they were told is old, a little apart from each other, so
-    that one that gets through can tell the rest before they ask.
+    The first node in rank polls at a steady interval and sends the result to
+    the others. The others poll once their information is too old, staggered
+    by rank, so that the first one that succeeds can inform the rest before
+    they poll.
 
     Args:
       now: Milliseconds of the node's clock.
-      as_of: When the configuration was known to be the newest.
-      last_poll: When this node asked last.
-      rank: Its place among the live nodes, 0 for the first.
-      is_reader: Whether what it knows comes from its own last read.
+      as_of: Time at which the configuration was known to be the newest.
+      last_poll: When this node last polled.
+      rank: Its rank among the live nodes; 0 is the first.
+      is_reader: Whether `as_of` comes from its own last read.
       failing: Whether its last read failed.
     """
-    pace = retry_ms(rank) if failing else POLL_MS
-    if now - last_poll < pace:
+    interval = retry_ms(rank) if failing else POLL_MS
+    if now - last_poll < interval:
         return False
     if rank == 0:
         return True
-    patience = TAKE_OVER_MS if is_reader else patience_ms(rank)
-    return now - as_of >= patience
+    age_max = TAKE_OVER_MS if is_reader else take_over_age_ms(rank)
+    return now - as_of >= age_max
 
 
 def first_poll_due(
     *, now: float, found_at: float, last_poll: float, rank: int
 ) -> bool:
-    """Decides whether a node without a configuration asks the store.
+    """Returns whether a node without a configuration should poll the store.
 
-    Its peers may have one, or the first in rank is about to read it.
+    Nodes of later ranks wait first: a peer may have a configuration, or the
+    first node in rank may be about to read it.
 
     Args:
       now: Milliseconds of the node's clock.
-      found_at: When the node learned who its peers are.
-      last_poll: When this node asked last.
-      rank: Its place among the live nodes, 0 for the first.
+      found_at: When the node learned which peers it has.
+      last_poll: When this node last polled.
+      rank: Its rank among the live nodes; 0 is the first.
     """
     if rank == 0:
         return now - last_poll >= FIRST_POLL_MS
-    wait = min(patience_ms(rank) - TAKE_OVER_MS, FIRST_WAIT_MS_MAX)
+    wait = min(take_over_age_ms(rank) - TAKE_OVER_MS, FIRST_WAIT_MS_MAX)
     return now - found_at >= wait and now - last_poll >= retry_ms(rank)
--- a/src/currantcart/routing/ejection.py
+++ b/src/currantcart/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Health of one target as seen from this node, and its way back."""
+"""Health of one target as seen from this node: ejection and recovery."""
 
 from __future__ import annotations
 
@@ -21,11 +21,17 @@
 class TargetHealth:
     """State machine: healthy, ejected for a time, probing, healthy.
 
-    A target that fails fast looks idle and would draw ever more calls; one
-    that lies in its health endpoint looks well. Only answers count here.
+    A target that fails fast looks idle and would attract more and more calls,
+    and a failing target may still pass its health check. So only the answers
+    to calls count.
 
     Attributes:
       state: One of `HEALTHY`, `EJECTED` and `PROBING`.
+      failures_in_row: Failures since the last answer.
+      failure_ratio: Exponential moving average of the failures.
+      probe_successes: Probes answered in the present probing.
+      probe_running: Whether a probe is in flight.
+      ejections: Ejections since the target was last healthy.
       ejected_until_ms: End of the present ejection.
     """
 
@@ -33,13 +39,13 @@
         state: str
 
         def eject(self) -> bool:
-            """Leaves the choice for a time."""
+            """Excludes the target from selection for a time."""
 
         def probe(self) -> bool:
-            """Takes single calls again."""
+            """Lets single calls go to the target again."""
 
         def recover(self) -> bool:
-            """Takes a full share again."""
+            """Gives the target its full share of calls again."""
 
     def __init__(self) -> None:
         self.failures_in_row = 0
@@ -61,7 +67,7 @@
         )
 
     def usable(self, now: float) -> bool:
-        """Tells whether a call may go there, ending an ejection when due."""
+        """Returns whether a call may be sent; ends an ejection that is over."""
         if self.state == EJECTED and now >= self.ejected_until_ms:
             self.probe()
             self.probe_successes = 0
@@ -71,7 +77,7 @@
         return self.state == HEALTHY
 
     def started(self) -> None:
-        """Notes that a call goes there."""
+        """Records that a call is sent to the target."""
         self.probe_running = self.state == PROBING
 
     def succeeded(self) -> None:
@@ -87,7 +93,7 @@
                 self.failure_ratio = 0.0
 
     def failed(self, now: float) -> None:
-        """Counts a failure: no answer, a cut one, or a fault of its own."""
+        """Counts a failure: no answer, an incomplete one or a target error."""
         self.failures_in_row += 1
         self.failure_ratio += (1.0 - self.failure_ratio) * FAILURE_WEIGHT
         self.probe_running = False
@@ -95,18 +101,18 @@
             self.begin_ejection(now)
 
     def released(self) -> None:
-        """Notes the end of a call that says nothing about the target."""
+        """Records the end of a call that shows nothing about the target."""
         self.probe_running = False
 
     def is_failing(self) -> bool:
-        """Tells whether a healthy target has to be ejected."""
+        """Returns whether a healthy target has to be ejected."""
         return self.state == HEALTHY and (
             self.failures_in_row >= FAILURES_IN_ROW
             or self.failure_ratio > FAILURE_RATIO_MAX
         )
 
     def begin_ejection(self, now: float) -> None:
-        """Ejects for a time that doubles with each ejection in a row."""
+        """Ejects the target; the time doubles with each ejection in a row."""
         backoff_ms = BACKOFF_MS_FIRST * 2.0 ** min(self.ejections, 10)
         self.ejected_until_ms = now + min(BACKOFF_MS_MAX, backoff_ms)
         self.ejections += 1
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -1,8 +1,9 @@
-"""Which target of a service gets a request.
+"""Selects the target of a service for a request.
 
-Bytes between failure domains cost money and time, so a target beside the
-caller comes first, then one in the same failure domain; another one is
-chosen when those are busy enough that waiting there costs more.
+Traffic between failure domains costs money and time. So the target beside the
+caller's node is preferred, then one in the same failure domain; a target in
+another domain is selected if the nearer ones are so busy that waiting there
+would cost more.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 import random
 from collections.abc import Iterable
 
-OTHER_DOMAIN_LEAST = 0.7
-"""Load at which a target elsewhere is preferred to one of the own domain.
+OTHER_DOMAIN_COST_MIN = 0.7
+"""Load from which a target of another domain is preferred to a local one.
 
-Below it a target answers without waiting, so evenness would gain nothing.
+Below it a target answers without queueing, so balancing would gain nothing.
 """
-OTHER_DOMAIN_MOST = 1.7
+OTHER_DOMAIN_COST_MAX = 1.7
 """The same for a request that can wait long: its bytes stay in the domain."""
-WAIT_OF_OBJECTIVE = 0.1
-"""Part of its objective that a request waits rather than leave its domain."""
-SAME_DOMAIN = 0.05
-COLD = 0.3
-JITTER = 0.02
+OBJECTIVE_WAIT_FRACTION = 0.1
+"""Fraction of its objective that a request may wait to stay in its domain."""
+SAME_DOMAIN_COST = 0.05
+COLD_COST = 0.3
+COST_JITTER = 0.02
 SPEED_TOLERANCE = 1.3
-"""Ratio of the times of work below which two targets count as alike.
+"""Ratio of the times of service below which targets count as equally fast.
 
 Requests of a service differ in work, and targets get different mixes of them.
 """
@@ -41,19 +42,19 @@
     Attributes:
       instance: Instance of the node beside it.
       service: Service that it serves.
-      failure_domain: Where it runs.
-      target_id: Its own id, new with most of its starts.
-      ready: Whether it takes requests.
-      limit: Requests that it runs at once.
-      busy: Requests that run or wait there, as told last.
+      failure_domain: Failure domain that it runs in.
+      target_id: Its id; most restarts change it.
+      ready: Whether it accepts requests.
+      limit: Requests that it runs concurrently.
+      busy: Requests running or waiting there, as last reported.
       open: Requests that this node has open there.
-      told_open: `open` when `busy` was told.
-      told_at: When it was told.
-      cold_until: When it is warm.
-      failure: Smoothed share of its requests that it failed or shed.
-      failure_at: When `failure` was right.
-      pressure: How full it and the services that it calls are.
-      work_ms: How long it works on a request; 0 while that isn't known.
+      reported_open: `open` when `busy` was reported.
+      reported_at: Time of that report.
+      cold_until: End of its warm-up.
+      failure: Smoothed share of requests that it failed or shed.
+      failure_at: Time as of which `failure` holds.
+      pressure: Load of the target and of the services that it calls.
+      work_ms: Service time of a request; 0 while unknown.
     """
 
     instance: str
@@ -73,60 +74,61 @@
     work_ms: float = 0.0
 
     def load(self) -> float:
-        """Returns the part of its slots that is taken, 1 when all are."""
+        """Returns the share of its slots in use; 1 when all are taken."""
         busy = self.busy + self.open - self.reported_open
         return max(busy, self.open, 0) / max(1, self.limit)
 
     def hear(self, *, busy: int, limit: int, now: float) -> None:
-        """Takes the load that the target's node tells."""
+        """Records the load that the target's node reported."""
         self.busy, self.limit, self.reported_open = busy, limit, self.open
         self.reported_at = now
 
     def text(self, now: float) -> str:
-        """Returns instance, load and its age for a log line."""
+        """Returns instance, load and age of the load for a log line."""
         state = "" if self.ready else "away:"
         return (
             f"{self.instance}:{state}{self.busy}/{self.limit}"
             f":{now - self.reported_at:.0f}ms"
         )
 
-    def failing(self, now: float) -> float:
-        """Returns the share of failures, faded with time."""
+    def failure_share(self, now: float) -> float:
+        """Returns the share of failures, decayed by its age."""
         age = max(0.0, now - self.failure_at)
         return float(self.failure * 0.5 ** (age / FAILURE_HALF_LIFE_MS))
 
     def note(self, *, failed: bool, now: float) -> None:
-        """Takes the end of a request at the target."""
+        """Records whether a request failed at the target."""
         if not failed and self.failure == 0.0:
             return
-        faded = self.failing(now)
-        self.failure = faded + FAILURE_SMOOTHING * (float(failed) - faded)
+        decayed = self.failure_share(now)
+        self.failure = decayed + FAILURE_SMOOTHING * (float(failed) - decayed)
         self.failure_at = now
         if self.failure < 1e-3:
             self.failure = 0.0
 
 
-def distance(objective_ms: float, *, work_ms: float) -> float:
-    """Returns the load that another failure domain weighs.
+def other_domain_cost(objective_ms: float, *, work_ms: float) -> float:
+    """Returns the cost of another failure domain, as a load.
 
-    Each load beyond the slots is a wait of about the work of one request.
+    Load beyond the slots means waiting: 1 is about the service time of one
+    request.
 
     Args:
       objective_ms: Latency objective of the request; 0 when unknown.
-      work_ms: How long a target works on a request; 0 when unknown.
+      work_ms: Service time of a request; 0 when unknown.
     """
     if not work_ms:
-        return OTHER_DOMAIN_LEAST
-    loads = WAIT_OF_OBJECTIVE * objective_ms / work_ms
-    return min(OTHER_DOMAIN_MOST, max(OTHER_DOMAIN_LEAST, loads))
+        return OTHER_DOMAIN_COST_MIN
+    loads = OBJECTIVE_WAIT_FRACTION * objective_ms / work_ms
+    return min(OTHER_DOMAIN_COST_MAX, max(OTHER_DOMAIN_COST_MIN, loads))
 
 
 class Picker:
-    """Chooses among targets.
+    """Selects targets for the requests of one node.
 
     Attributes:
-      instance: This node.
-      failure_domain: Where this node runs.
+      instance: Instance of this node.
+      failure_domain: Failure domain that this node runs in.
     """
 
     def __init__(
@@ -144,24 +146,24 @@
         fastest_ms: float,
         objective_ms: float = 0.0,
     ) -> float:
-        """Returns what a request costs at a target; lower is better.
+        """Returns the cost of a request at a target; lower is better.
 
-        A slot of a slow target is free again later, so its load counts for
-        more. With load alone, a fast target and a slow one would have equal
-        queues, and those in the slow one's would be late.
+        Slots of a slow target are freed later, so its load is weighted by its
+        slowness. By load alone, a fast and a slow target would have queues of
+        equal length, and the requests in the slow one's would be late.
         """
         cost = target.load()
         if fastest_ms and target.work_ms > fastest_ms * SPEED_TOLERANCE:
             cost *= min(SLOWNESS_MAX, target.work_ms / fastest_ms)
         if target.instance != self.instance:
-            cost += SAME_DOMAIN
+            cost += SAME_DOMAIN_COST
             if target.failure_domain != self.failure_domain:
-                cost += distance(objective_ms, work_ms=fastest_ms)
+                cost += other_domain_cost(objective_ms, work_ms=fastest_ms)
         if target.cold_until > now:
-            cost += COLD
+            cost += COLD_COST
         if target.failure:
-            cost += FAILURE_WEIGHT * target.failing(now)
-        return cost + JITTER * self.rng.random()
+            cost += FAILURE_WEIGHT * target.failure_share(now)
+        return cost + COST_JITTER * self.rng.random()
 
     def choose(
         self,
@@ -171,12 +173,12 @@
         passed_over: set[str],
         objective_ms: float = 0.0,
     ) -> Target | None:
-        """Returns the target for a request.
+        """Returns the target with the lowest cost, or None without any.
 
         Args:
           targets: Targets of the service that can be reached.
           now: Milliseconds of the node's clock.
-          passed_over: Instances that had the request already.
+          passed_over: Instances that the request was already sent to.
           objective_ms: Latency objective of the request; 0 when unknown.
         """
         best: Target | None = None
--- a/src/currantcart/routing/router.py
+++ b/src/currantcart/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: which target of a service takes a call."""
+"""Selects the target of a service for a call."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from currantcart.membership import model as membership_model
 from currantcart.routing import ejection, score
 
-SAMPLE_NEAR = 2
-SAMPLE_FAR = 1
-REPORT_MEMORY_MS = 2_000.0
+SAMPLE_SAME_DOMAIN = 2
+SAMPLE_OTHERS = 1
+REPORT_AGE_MAX_MS = 2_000.0
 EJECTED_SHARE_MAX = 0.5
 NO_TARGET_RETRY_MS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """Load that a target's node reported on an answer.
+    """Load that a target's node reported with an answer.
 
     Attributes:
       load: Calls running and waiting there.
       limit: Its limit on running calls.
       shed_level: Priority up to which it sheds.
-      at_ms: When it was heard.
-      in_flight: Own calls there at that time.
+      at_ms: When the report was received.
+      in_flight: This node's calls there at that time.
     """
 
     load: float
@@ -41,9 +41,9 @@
 
     Attributes:
       member: The node beside the target.
-      seen_ms: When this node first heard of it, less its age then.
-      in_flight: Own calls there now.
-      report: Last load heard; None before the first answer.
+      seen_ms: When this node first saw it, or saw it restarted.
+      in_flight: This node's calls there now.
+      report: Last reported load; None before the first answer.
       health: Ejection state.
     """
 
@@ -55,10 +55,10 @@
         self.health = ejection.TargetHealth()
 
     def utilization(self, now: float) -> float:
-        """Estimates the share of its limit in use."""
+        """Estimates the share of the target's limit that is in use."""
         ramp = score.ramp_share(now - self.seen_ms, ramp_ms=self.member.ramp_ms)
         report = self.report
-        if report is None or now - report.at_ms > REPORT_MEMORY_MS:
+        if report is None or now - report.at_ms > REPORT_AGE_MAX_MS:
             return self.in_flight / (max(1, self.member.slots) * ramp)
         sent_since = self.in_flight - report.in_flight
         load = max(float(self.in_flight), report.load + sent_since)
@@ -67,14 +67,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where this node runs."""
+    """Failure domain and region of this node."""
 
     failure_domain: str
     region: str
 
 
 class Router:
-    """Targets of all services and the choice among them."""
+    """Known targets of all services, and the selection among them."""
 
     def __init__(self, *, place: Place, rng: random.Random) -> None:
         self.place = place
@@ -85,7 +85,7 @@
     def update(
         self, members: Collection[membership_model.Member], now: float
     ) -> None:
-        """Takes the present members; keeps what is known of those staying."""
+        """Replaces the members; keeps the state of targets that remain."""
         known = self.candidates
         self.candidates = {}
         self.services = {}
@@ -103,8 +103,8 @@
             elif member.status is membership_model.Status.SUSPECT:
                 suspects.append(candidate)
         for candidate in suspects:
-            # A suspect may only have lost a datagram; it is used when the
-            # choice is between it and no target at all.
+            # A suspect may only have lost a datagram, so it is used if its
+            # service has no other target.
             service = candidate.member.service
             if service not in self.services:
                 self.services[service] = [candidate]
@@ -120,7 +120,7 @@
         report = candidate.report
         if (
             report is not None
-            and now - report.at_ms < REPORT_MEMORY_MS
+            and now - report.at_ms < REPORT_AGE_MAX_MS
             and priority <= report.shed_level
         ):
             cost += score.SHEDDING_COST
@@ -129,11 +129,11 @@
     def usable(
         self, candidates: Sequence[Candidate], now: float
     ) -> Sequence[Candidate]:
-        """Returns the candidates that health lets through, never none.
+        """Returns the candidates that aren't ejected; all if most are.
 
-        When more than half are ejected, the fault is more likely common to
-        all (a bad dependency, this node's own link) than theirs; leaving the
-        few others to carry everything would bring those down too.
+        When more than half are ejected, a common cause is more likely than
+        faults of the targets: a failing dependency or this node's network.
+        Sending all calls to the few others would overload those too.
         """
         usable = [c for c in candidates if c.health.usable(now)]
         if len(usable) < len(candidates) * (1.0 - EJECTED_SHARE_MAX):
@@ -141,18 +141,18 @@
         return usable
 
     def sample(self, candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-        """Draws a few candidates, near ones first."""
-        if len(candidates) <= SAMPLE_NEAR + SAMPLE_FAR:
+        """Returns a random sample, preferring this node's failure domain."""
+        if len(candidates) <= SAMPLE_SAME_DOMAIN + SAMPLE_OTHERS:
             return candidates
         near = [
             c
             for c in candidates
             if c.member.failure_domain == self.place.failure_domain
         ]
-        drawn = self.rng.sample(near, min(SAMPLE_NEAR, len(near)))
-        wanted = SAMPLE_NEAR + SAMPLE_FAR - len(drawn)
-        rest = [c for c in candidates if c not in drawn]
-        return [*drawn, *self.rng.sample(rest, min(wanted, len(rest)))]
+        sampled = self.rng.sample(near, min(SAMPLE_SAME_DOMAIN, len(near)))
+        wanted = SAMPLE_SAME_DOMAIN + SAMPLE_OTHERS - len(sampled)
+        rest = [c for c in candidates if c not in sampled]
+        return [*sampled, *self.rng.sample(rest, min(wanted, len(rest)))]
 
     def pick(
         self,
@@ -162,16 +162,16 @@
         exclude: Collection[str],
         now: float,
     ) -> Candidate:
-        """Chooses the target for one attempt.
+        """Selects the target for one attempt.
 
         Args:
           service: Service called.
           priority: Order of the call under overload.
-          exclude: Instances that this call has tried.
-          now: Present time.
+          exclude: Instances that this call was already sent to.
+          now: Milliseconds of the node's clock.
 
         Raises:
-          errors.Refusal: No target of the service is known or left.
+          errors.Refusal: No target is known, or all known ones are excluded.
         """
         known = self.services.get(service, [])
         candidates = [c for c in known if c.member.instance not in exclude]
@@ -179,12 +179,12 @@
             raise errors.Refusal(
                 errors.Code.NO_TARGET,
                 errors.Step.ROUTE,
-                f"no target of {service} is left of {len(known)} known",
+                f"no target of {service} is left out of {len(known)} known",
                 not_run=True,
                 retry_after_ms=NO_TARGET_RETRY_MS,
             )
-        drawn = self.sample(self.usable(candidates, now))
-        return min(drawn, key=lambda c: self.cost(c, priority, now))
+        sampled = self.sample(self.usable(candidates, now))
+        return min(sampled, key=lambda c: self.cost(c, priority, now))
 
     def report(
         self,
@@ -195,7 +195,7 @@
         shed_level: int,
         now: float,
     ) -> None:
-        """Takes the load that came back on an answer."""
+        """Records the load that was reported with an answer."""
         candidate.report = Report(
             load=load,
             limit=limit,
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the fleet package."""
--- a/tests/fleet/test_freshness.py
+++ b/tests/fleet/test_freshness.py
@@ -1,4 +1,4 @@
-"""How long a node trusts its keys, and who asks the store."""
+"""Tests how long keys are served and which node polls the store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert not known.may_serve_keys(5_600.0, bound_ms=5_000)
 
 
-def test_word_of_another_version_proves_nothing() -> None:
+def test_confirmation_of_another_version_is_ignored() -> None:
     known = freshness.Freshness()
     known.take(7, 1_000.0)
     known.confirm(6, 4_000.0)
@@ -26,35 +26,35 @@
     assert known.as_of == 1_000.0
 
 
-def test_older_word_does_not_make_it_older() -> None:
+def test_older_confirmation_is_ignored() -> None:
     known = freshness.Freshness()
     known.take(7, 1_000.0)
     known.confirm(7, 900.0)
     assert known.as_of == 1_000.0
 
 
-def test_the_first_asks_at_a_steady_pace_and_the_others_wait() -> None:
+def test_the_first_rank_polls_steadily_and_the_others_wait() -> None:
     due = freshness.poll_due
     assert due(now=10_000, as_of=9_500, last_poll=9_300, rank=0)
     assert not due(now=10_000, as_of=9_500, last_poll=9_500, rank=0)
     assert not due(now=10_000, as_of=9_500, last_poll=0, rank=1)
 
 
-def test_when_the_first_does_not_get_through_the_others_ask() -> None:
-    """The store turns the asking node away and serves the others."""
+def test_other_ranks_poll_when_the_first_one_fails() -> None:
+    """The store refuses the polling node and serves the others."""
     due = freshness.poll_due
     assert due(now=10_000, as_of=8_700, last_poll=0, rank=1)
     assert due(now=10_000, as_of=8_200, last_poll=0, rank=11)
 
 
-def test_the_node_that_got_through_goes_on_whatever_its_rank() -> None:
-    """The store serves a few nodes of a large fleet only."""
+def test_the_node_that_succeeded_keeps_polling_whatever_its_rank() -> None:
+    """The store serves only a few nodes of a large fleet."""
     assert due_after(1_300, rank=90, is_reader=True)
     assert not due_after(1_300, rank=90)
 
 
-def test_a_node_whose_reads_fail_leaves_the_next_ones_to_others() -> None:
-    """A store that is away is asked by every node at the reader's pace."""
+def test_a_node_whose_reads_fail_polls_less_often() -> None:
+    """Guards against all nodes polling an unavailable store at full rate."""
     assert due_after(9_000, rank=2, polled=800)
     assert not due_after(9_000, rank=2, polled=800, failing=True)
     assert due_after(9_000, rank=0, polled=800, failing=True)
@@ -69,7 +69,7 @@
     is_reader: bool = False,
     failing: bool = False,
 ) -> bool:
-    """Returns whether a node asks whose configuration has some age."""
+    """Returns whether a node with a configuration of some age polls."""
     return freshness.poll_due(
         now=100_000.0,
         as_of=100_000.0 - age,
@@ -80,11 +80,13 @@
     )
 
 
-def test_ranks_far_behind_ask_a_store_that_is_away_one_by_one() -> None:
-    waits = [freshness.patience_ms(rank) for rank in range(200)]
-    assert waits == sorted(waits)
-    late = [wait for wait in waits if wait > freshness.patience_ms(11)]
-    gaps = [after - before for before, after in itertools.pairwise(late)]
+def test_later_ranks_poll_an_unavailable_store_one_by_one() -> None:
+    ages = [freshness.take_over_age_ms(rank) for rank in range(200)]
+    assert ages == sorted(ages)
+    later = [
+        age_ms for age_ms in ages if age_ms > freshness.take_over_age_ms(11)
+    ]
+    gaps = [after - before for before, after in itertools.pairwise(later)]
     assert min(gaps) >= 100
 
 
@@ -93,7 +95,7 @@
     [(0, 0, True), (1, 0, True), (5, 200, False), (5, 240, True),
      (900, 1_400, False), (900, 1_500, True)],
 )  # fmt: skip
-def test_without_a_configuration_the_first_in_rank_asks_first(
+def test_without_a_configuration_the_first_rank_polls_first(
     rank: int, waited: float, due: bool
 ) -> None:
     assert due == freshness.first_poll_due(
--- a/tests/routing/test_picker.py
+++ b/tests/routing/test_picker.py
@@ -1,4 +1,4 @@
-"""Which target gets a request, and what callers get by it."""
+"""Tests target selection and its effect on latency, by simulation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SLOTS = 20
 WORK_MS = 100.0
 OBJECTIVE_MS = 300.0
-TOLD_MS = 400.0
+REPORT_INTERVAL_MS = 400.0
 END_MS = 8_000.0
 DOMAINS = "abc"
 NODES_A_DOMAIN = 4
@@ -39,17 +39,17 @@
     return chooser.rng.randrange(len(targets))
 
 
-def own_domain(
+def same_domain(
     chooser: picker.Picker, targets: list[picker.Target], now: float
 ) -> int:
-    """Never leaves the domain, whatever the load there."""
+    """Never leaves the failure domain, whatever the load there."""
     del now, targets
     return DOMAINS.index(chooser.failure_domain)
 
 
 @dataclasses.dataclass
 class Server:
-    """A target: slots, a queue in order of arrival, and its own work."""
+    """A target: slots, a FIFO queue and its service time."""
 
     work_ms: float
     running: int = 0
@@ -68,20 +68,20 @@
 
 
 class World:
-    """Nodes of three domains with one target in each.
+    """Simulates the nodes of three domains with one target in each.
 
-    A node hears of a target's load by its own answers, and every 400 ms.
+    A node receives a target's load with its answers, and every 400 ms.
 
     Attributes:
       sent: Requests.
-      in_time: Those that were answered within the objective.
-      near: Those that stayed in their domain.
+      in_time: Requests answered within the objective.
+      near: Requests that stayed in their domain.
     """
 
     def __init__(
-        self, choose: Choose, work: list[float], *, tells_speed: bool = True
+        self, choose: Choose, work: list[float], *, reports_speed: bool = True
     ) -> None:
-        self.tells_speed = tells_speed
+        self.reports_speed = reports_speed
         self.rng = random.Random(5)
         self.choose = choose
         self.servers = [Server(work_ms) for work_ms in work]
@@ -109,9 +109,9 @@
         heapq.heappush(self.events, (when, next(self.numbers), what))
 
     def play(self, per_second: float, shares: list[float]) -> World:
-        """Plays requests that begin in the domains by their shares."""
+        """Simulates requests that originate in the domains by their shares."""
         for _, targets in self.nodes:
-            self.tell(targets, self.rng.uniform(0, TOLD_MS))
+            self.report(targets, self.rng.uniform(0, REPORT_INTERVAL_MS))
         now = 0.0
         while now < END_MS:
             now += self.rng.expovariate(per_second / 1_000)
@@ -123,15 +123,15 @@
             what(when)
         return self
 
-    def tell(self, targets: list[picker.Target], when: float) -> None:
-        def told(now: float) -> None:
+    def report(self, targets: list[picker.Target], when: float) -> None:
+        def receive(now: float) -> None:
             for target, server in zip(targets, self.servers, strict=True):
                 target.hear(busy=server.busy, limit=SLOTS, now=now)
-                target.work_ms = server.work_ms if self.tells_speed else 0.0
+                target.work_ms = server.work_ms if self.reports_speed else 0.0
             if now < END_MS:
-                self.at(now + TOLD_MS, told)
+                self.at(now + REPORT_INTERVAL_MS, receive)
 
-        self.at(when, told)
+        self.at(when, receive)
 
     def arrival(self, number: int) -> Callable[[float], None]:
         def arrive(now: float) -> None:
@@ -159,11 +159,11 @@
         return arrive
 
     @property
-    def served(self) -> float:
+    def served_in_time(self) -> float:
         return self.in_time / self.sent
 
     @property
-    def stayed(self) -> float:
+    def stayed_in_domain(self) -> float:
         return self.near / self.sent
 
 
@@ -174,47 +174,49 @@
 
 
 def capacity(work: list[float]) -> float:
-    """Returns the requests a second that targets can do together."""
+    """Returns the requests a second that all targets can serve together."""
     return SLOTS * sum(1_000 / each for each in work)
 
 
-@pytest.mark.parametrize("other", [at_random, own_domain])
-def test_the_least_cost_serves_more_in_time_than_other_ways(
+@pytest.mark.parametrize("other", [at_random, same_domain])
+def test_least_cost_serves_more_in_time_than_other_policies(
     other: Choose,
 ) -> None:
-    """At nine tenths of what all three can do, one at half the speed."""
+    """At 0.9 of the capacity of three targets, one at half the speed."""
     per_second = 0.9 * capacity(ONE_SLOW)
     chosen = World(least_cost, ONE_SLOW).play(per_second, EVEN)
-    weighed = World(other, ONE_SLOW).play(per_second, EVEN)
-    assert chosen.served > 0.99
-    assert weighed.served < 0.75
+    compared = World(other, ONE_SLOW).play(per_second, EVEN)
+    assert chosen.served_in_time > 0.99
+    assert compared.served_in_time < 0.75
 
 
-def test_a_domain_that_asks_more_is_helped_by_the_others() -> None:
+def test_a_domain_with_more_requests_uses_the_other_domains() -> None:
     per_second = 0.9 * capacity(ALIKE)
     chosen = World(least_cost, ALIKE).play(per_second, UNEVEN)
-    weighed = World(own_domain, ALIKE).play(per_second, UNEVEN)
-    assert chosen.served > 0.99
-    assert weighed.served < 0.5
+    compared = World(same_domain, ALIKE).play(per_second, UNEVEN)
+    assert chosen.served_in_time > 0.99
+    assert compared.served_in_time < 0.5
 
 
 @pytest.mark.parametrize(("slow", "gain"), [(2.0, 0.05), (4.0, 0.05)])
-def test_the_speed_of_a_target_tells_what_its_load_means(
+def test_load_weighted_by_speed_serves_more_in_time(
     slow: float, gain: float
 ) -> None:
-    """In time by load alone 0.89 and 0.87, by load and speed 1.00 and 0.94."""
+    """Served in time: by load 0.89 and 0.87, with speed 1.00 and 0.94."""
     work = [slow * WORK_MS, WORK_MS, WORK_MS]
     per_second = 0.9 * capacity(work)
-    weighed = World(least_cost, work).play(per_second, EVEN)
-    blind = World(least_cost, work, tells_speed=False).play(per_second, EVEN)
-    assert weighed.served > blind.served + gain
+    weighted = World(least_cost, work).play(per_second, EVEN)
+    unweighted = World(least_cost, work, reports_speed=False).play(
+        per_second, EVEN
+    )
+    assert weighted.served_in_time > unweighted.served_in_time + gain
 
 
 def test_a_request_stays_in_its_domain_while_there_is_room() -> None:
-    """Bytes between domains cost; evenness would gain nothing here."""
+    """Traffic between domains costs; balancing would gain nothing here."""
     played = World(least_cost, ALIKE).play(0.5 * capacity(ALIKE), EVEN)
-    assert played.served > 0.99
-    assert played.stayed > 0.95
+    assert played.served_in_time > 0.99
+    assert played.stayed_in_domain > 0.95
 
 
 def target(name: str, domain: str = "a", **values: object) -> picker.Target:
@@ -235,9 +237,17 @@
         target("x", failure=0.5, failure_at=1_000.0),
         target("x", busy=5, work_ms=200.0),
     ],
-    ids=["away", "elsewhere", "busy", "ours", "cold", "failing", "slow"],
+    ids=[
+        "not ready",
+        "other domain",
+        "busy",
+        "open",
+        "cold",
+        "failing",
+        "slow",
+    ],
 )
-def test_the_better_target_is_chosen(worse: picker.Target) -> None:
+def test_the_target_with_lower_cost_is_chosen(worse: picker.Target) -> None:
     chooser = picker.Picker(
         instance="n", failure_domain="a", rng=random.Random(1)
     )
@@ -247,12 +257,12 @@
     assert chooser.choose([worse], now=1_000.0, passed_over={"x"}) is None
 
 
-def test_failures_fade() -> None:
+def test_failures_decay() -> None:
     made = target("x")
     for _ in range(50):
         made.note(failed=True, now=1_000.0)
-    assert made.failing(1_000.0) > 0.9
-    assert made.failing(5_000.0) < 0.25
+    assert made.failure_share(1_000.0) > 0.9
+    assert made.failure_share(5_000.0) < 0.25
 
 
 @pytest.mark.parametrize(
@@ -263,11 +273,11 @@
         (300.0, 25.0, 1.1, 1.3),
         (5_000.0, 25.0, 1.7, 1.7),
     ],
-    ids=["hurried", "unknown", "short work", "patient"],
+    ids=["short objective", "unknown", "short work", "long objective"],
 )
 def test_a_request_waits_in_its_domain_for_a_part_of_its_objective(
     objective_ms: float, work_ms: float, least: float, most: float
 ) -> None:
-    """Many small calls leave a domain in which they would wait a moment."""
-    found = picker.distance(objective_ms, work_ms=work_ms)
-    assert least <= found <= most
+    """Guards against short requests leaving a domain after a brief wait."""
+    cost = picker.other_domain_cost(objective_ms, work_ms=work_ms)
+    assert least <= cost <= most
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Choice of a target."""
+"""Tests target selection and the ejection of failing targets."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     return built
 
 
-def spread(
+def send_calls(
     routing: router.Router, calls: int, *, hold: bool = True
 ) -> collections.Counter[str]:
-    """Sends calls and counts where they go."""
+    """Sends calls and counts them by failure domain."""
     counts: collections.Counter[str] = collections.Counter()
     for _ in range(calls):
         chosen = routing.pick("grades", priority=0, exclude=(), now=0.0)
@@ -52,15 +52,15 @@
     return counts
 
 
-def test_near_targets_come_first_and_overflow_goes_on(
+def test_same_domain_is_preferred_until_it_is_loaded(
     routing: router.Router,
 ) -> None:
-    assert set(spread(routing, 8)) == {"domain-0"}
-    far = spread(routing, 30)
+    assert set(send_calls(routing, 8)) == {"domain-0"}
+    far = send_calls(routing, 30)
     assert far["domain-1"] + far["domain-2"] > far["domain-0"]
 
 
-def test_nothing_goes_to_the_excluded_leaving_or_down(
+def test_excluded_leaving_and_dead_targets_get_no_call(
     routing: router.Router,
 ) -> None:
     routing.update(
@@ -78,11 +78,11 @@
     assert caught.value.not_run
 
 
-def test_suspect_is_used_when_it_is_the_only_one(
+def test_suspect_is_used_if_it_is_the_only_target(
     routing: router.Router,
 ) -> None:
     routing.update([member(0, status=model.Status.SUSPECT)], 0.0)
-    assert spread(routing, 1)
+    assert send_calls(routing, 1)
 
 
 def test_target_that_sheds_this_priority_is_avoided(
@@ -93,13 +93,13 @@
             routing.candidates[f"grades-{number}"],
             load=1, limit=10, shed_level=5, now=0.0,
         )  # fmt: skip
-    assert "domain-0" not in spread(routing, 5, hold=False)
+    assert "domain-0" not in send_calls(routing, 5, hold=False)
     chosen = routing.pick("grades", priority=6, exclude=(), now=0.0)
     assert chosen.member.failure_domain == "domain-0"
 
 
-def test_started_target_gets_its_share_slowly() -> None:
-    """A cold target that got its full share at once would time out."""
+def test_started_target_ramps_up_to_its_share() -> None:
+    """Guards against time-outs of a cold target that gets its full share."""
     shares = [score.ramp_share(t, ramp_ms=1_000) for t in (0, 500, 1_000)]
     assert shares == [0.1, 0.5, 1.0]
 
@@ -110,8 +110,8 @@
         health.failed(now)
 
 
-def test_failing_target_leaves_and_comes_back_by_probes() -> None:
-    """A target answers each call at once with an error."""
+def test_failing_target_is_ejected_and_recovers_by_probes() -> None:
+    """Guards against targets that answer each call at once with an error."""
     health = ejection.TargetHealth()
     fail(health, ejection.FAILURES_IN_ROW, 0.0)
     assert not health.usable(500.0)
@@ -124,7 +124,7 @@
     assert health.state == ejection.HEALTHY
 
 
-def test_failed_probe_waits_twice_as_long() -> None:
+def test_failed_probe_doubles_the_ejection_time() -> None:
     health = ejection.TargetHealth()
     fail(health, ejection.FAILURES_IN_ROW, 0.0)
     assert health.usable(1_000.0)
@@ -133,7 +133,7 @@
     assert health.usable(3_000.0)
 
 
-def test_target_that_fails_half_the_time_leaves_too() -> None:
+def test_target_that_fails_most_calls_is_ejected() -> None:
     health = ejection.TargetHealth()
     for number in range(60):
         if health.state == ejection.HEALTHY:
@@ -144,14 +144,16 @@
     assert health.state == ejection.EJECTED
 
 
-def test_never_all_are_ejected(routing: router.Router) -> None:
-    """All targets fail since a service below them is down."""
+def test_calls_are_sent_if_all_targets_are_ejected(
+    routing: router.Router,
+) -> None:
+    """All targets fail if a service that they call is down."""
     for candidate in routing.candidates.values():
         fail(candidate.health, ejection.FAILURES_IN_ROW, 0.0)
-    assert sum(spread(routing, 12).values()) == 12
+    assert sum(send_calls(routing, 12).values()) == 12
 
 
-def test_what_is_known_outlasts_an_update(routing: router.Router) -> None:
+def test_state_of_a_target_outlasts_an_update(routing: router.Router) -> None:
     candidate = routing.candidates["grades-0"]
     routing.update([member(0, incarnation=2)], 0.0)
     assert routing.candidates["grades-0"] is candidate
