--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -1,8 +1,9 @@
-"""What a node believes of the target beside it, from the target's reports.
+"""State of the local target, derived from the target's reports.
 
-Reports come late, twice and out of order, also behind those of a newer start
-of the target. A target that said it leaves must get nothing more, even when
-an older "ready" arrives afterwards or the node was started anew meanwhile.
+Reports may arrive late, twice or out of order, also after those of a newer
+incarnation of the target. A target that has reported that it is leaving must
+get no more requests, even if an older "ready" arrives afterwards or the node
+has been restarted in the meantime.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Phase(enum.StrEnum):
-    """What a target says of itself."""
+    """Life-cycle phase that a target reports."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,11 +27,11 @@
     Attributes:
       target_id: Its id.
       born: Start of this incarnation, in milliseconds since 1970; 0 unknown.
-      sequence: Grows with each report of an incarnation.
-      phase: What it says of itself.
+      sequence: Increases with each report of an incarnation.
+      phase: Life-cycle phase.
       service: Service that it serves.
-      slots: Requests that it runs at once.
-      cold_ms: How much longer it is slow after its start.
+      slots: Requests that it runs concurrently.
+      cold_ms: Remaining time for which it is slow after its start.
     """
 
     target_id: str
@@ -43,12 +44,12 @@
 
 
 class TargetRecord:
-    """The last report that counts, and which ones count after it.
+    """The last accepted report of a target, and whether others supersede it.
 
     Attributes:
-      last: The last report that counted; None before.
-      restored: Whether the record of the process before was read.
-      first: A report that waits for a second one to confirm it.
+      last: The last accepted report; None before the first.
+      restored: Whether the record of the previous process has been read.
+      first: A report that needs a second one to confirm it.
     """
 
     def __init__(self) -> None:
@@ -57,18 +58,23 @@
         self.first: Report | None = None
 
     def restore(self, report: Report | None) -> None:
-        """Takes the record that the process before left in the store."""
+        """Restores the record that the previous process stored."""
         self.restored = True
         self.last = newest(self.last, report)
 
     def hear_left(self, target_id: str, born: int) -> bool:
-        """Takes a peer's word that a target here has said it leaves.
+        """Applies a peer's report that the local target is leaving.
 
-        It counts also before anything else is known: a new process may reach
-        a peer and not the store, and the target's last "ready" may yet come.
+        It is accepted even if nothing else is known yet: a restarted node may
+        reach a peer but not the store, and the last "ready" of the target may
+        still arrive.
+
+        Args:
+          target_id: Id of the target.
+          born: Start of its incarnation, in milliseconds since 1970.
 
         Returns:
-          Whether it was not known.
+          Whether the leave was not known before.
         """
         report = Report(target_id, born, 0, Phase.LEFT)
         if self.last is None:
@@ -77,18 +83,21 @@
         return self.take(report)
 
     def take(self, report: Report, *, wall_ms: float = 0.0) -> bool:
-        """Takes a report; returns whether it counts.
+        """Applies a report unless it is outdated.
+
+        Until the record of the previous process has been read, a single
+        "ready" may be an old one of a target that has left. A second, later
+        one shows that the target is still running.
 
         Args:
           report: The report.
-          wall_ms: The time of day, in milliseconds since 1970.
+          wall_ms: Wall-clock time, in milliseconds since 1970.
 
-        Until the record of the process before is known, a single "ready" may
-        be an old one of a target that has left; a second, later one shows
-        that the target goes on.
+        Returns:
+          Whether the report was accepted.
         """
         if report.phase is Phase.LEFT:
-            report = self.as_leave(report, wall_ms)
+            report = self.with_incarnation(report, wall_ms)
         last = self.last
         if last is not None and not is_after(report, last):
             return False
@@ -99,11 +108,11 @@
         self.last = report
         return True
 
-    def as_leave(self, report: Report, wall_ms: float) -> Report:
-        """Gives a leave the incarnation that it speaks of.
+    def with_incarnation(self, report: Report, wall_ms: float) -> Report:
+        """Returns a leave with the incarnation that it refers to.
 
-        Where nothing is known of the target, that is any that has started
-        until now.
+        If nothing is known about the target, the leave refers to every
+        incarnation that has started until now.
         """
         last = self.last
         if report.born:
@@ -114,23 +123,23 @@
 
 
 def newest(first: Report | None, second: Report | None) -> Report | None:
-    """Returns the one of two reports that counts."""
+    """Returns the one of two reports that supersedes the other."""
     if first is None or second is None:
         return first or second
     return second if is_after(second, first) else first
 
 
 def is_after(report: Report, last: Report) -> bool:
-    """Tells whether a report counts after another one.
+    """Returns whether a report supersedes another one.
 
-    Within an incarnation, leaving is final: only a later start of the target
-    is ready again.
+    Within an incarnation, leaving is final: only a later incarnation of the
+    target can be ready again.
     """
     if report.target_id == last.target_id or report.born != last.born:
         if report.born != last.born:
             return report.born > last.born
     else:
-        # Two targets without a time of birth: the later word counts.
+        # Two targets without a start time: the report received later applies.
         return report.born == 0 or report.phase is Phase.READY
     if report.phase is Phase.LEFT:
         return last.phase is not Phase.LEFT
--- a/src/currantcart/operation/model.py
+++ b/src/currantcart/operation/model.py
@@ -1,4 +1,4 @@
-"""What is stored of an operation, and what follows from it. Pure."""
+"""Stored state of an operation and the decisions based on it; no I/O."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class State(enum.StrEnum):
-    """Where an operation stands.
+    """State of an operation.
 
-    `FREE` is a claim that was given back: the call certainly did not run.
+    `FREE` is a claim that was released: the call certainly did not run.
     """
 
     CLAIMED = "claimed"
@@ -27,8 +27,8 @@
     FREE = "free"
 
 
-class StoredText(settings_model.StrictModel):
-    """An operation as the store keeps it."""
+class Record(settings_model.StrictModel):
+    """Record of an operation in the store."""
 
     state: State
     claim_id: str
@@ -43,9 +43,9 @@
     """One operation of a caller.
 
     Attributes:
-      key: Where the store keeps it.
+      key: Key of its record in the store.
       fingerprint: Digest of workspace, method, path and body.
-      claim_id: Id of the call that wants to run it.
+      claim_id: Id of the call that is to run it.
     """
 
     key: str
@@ -55,12 +55,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstAnswer:
-    """The answer that an operation's run gave.
+    """Answer of the one run of an operation.
 
     Attributes:
       status: HTTP status.
-      content_type: Its content type.
-      body: Whole body; None when it was too large to keep.
+      content_type: Content type of the body.
+      body: Complete body; None if it was too large to store.
     """
 
     status: int
@@ -69,7 +69,7 @@
 
 
 class Step(enum.Enum):
-    """What a call may do about its operation."""
+    """Next step of a call for its operation."""
 
     CLAIM = "claim"
     RUN = "run"
@@ -78,14 +78,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What follows from what the store holds."""
+    """Decision of a call, based on the stored record."""
 
     step: Step
     answer: FirstAnswer | None = None
 
 
 def digest(*parts: bytes) -> str:
-    """Returns a digest in which no two lists of parts look alike."""
+    """Returns a digest of a list of parts.
+
+    Each part is preceded by its length, so that different lists never give
+    the same input to the hash.
+    """
     hashed = hashlib.sha256()
     for part in parts:
         hashed.update(len(part).to_bytes(8, "big"))
@@ -103,10 +107,10 @@
     body: bytes,
     claim_id: str,
 ) -> Operation:
-    """Returns the operation that a request asks for.
+    """Returns the operation of a request.
 
-    The workspace is part of the fingerprint and not of the key: the same key
-    from another workspace is refused, and never runs a second time.
+    The workspace is part of the fingerprint but not of the key: the same key
+    from another workspace is refused and never runs a second time.
     """
     name = digest(service.encode(), idempotency_key.encode())
     fingerprint = digest(
@@ -115,38 +119,38 @@
     return Operation(STORE_PREFIX + name, fingerprint, claim_id)
 
 
-def encode(stored: StoredText) -> bytes:
-    """Returns the bytes of a stored operation."""
+def encode(stored: Record) -> bytes:
+    """Encodes the record of an operation."""
     return stored.model_dump_json(exclude_defaults=True).encode()
 
 
-def decode(value: bytes) -> StoredText:
-    """Reads a stored operation.
+def decode(value: bytes) -> Record:
+    """Decodes the record of an operation.
 
     Raises:
-      errors.Refusal: It cannot be read, so nothing about it is known.
+      errors.Refusal: It cannot be decoded, so the outcome is unknown.
     """
     try:
-        return StoredText.model_validate(json.loads(value))
+        return Record.model_validate(json.loads(value))
     except ValueError as error:
         raise unknown("its record cannot be read") from error
 
 
-def claimed(operation: Operation) -> StoredText:
+def claimed(operation: Operation) -> Record:
     """Returns the record of a claim."""
-    return StoredText(
+    return Record(
         state=State.CLAIMED,
         claim_id=operation.claim_id,
         fingerprint=operation.fingerprint,
     )
 
 
-def freed(operation: Operation) -> StoredText:
-    """Returns the record of a claim that was given back."""
+def freed(operation: Operation) -> Record:
+    """Returns the record of a claim that was released."""
     return claimed(operation).model_copy(update={"state": State.FREE})
 
 
-def done(operation: Operation, answer: FirstAnswer) -> StoredText:
+def done(operation: Operation, answer: FirstAnswer) -> Record:
     """Returns the record of an operation that ran."""
     body = answer.body
     keep = body is not None and len(body) <= ANSWER_BYTES_MAX
@@ -161,21 +165,21 @@
 
 
 def unknown(detail: str) -> errors.Refusal:
-    """Returns the refusal of a repeat whose first call has no known end."""
+    """Returns the refusal of a retry whose first call has no known outcome."""
     return errors.Refusal(
         errors.Code.OUTCOME_UNKNOWN,
         errors.Step.OPERATION,
-        f"the operation was begun before: {detail}",
+        f"another call started the operation before: {detail}",
         not_run=False,
         retry_after_ms=RETRY_AFTER_MS,
     )
 
 
-def judge(stored: StoredText | None, operation: Operation) -> Verdict:
-    """Decides what a call may do, given what the store holds.
+def decide(stored: Record | None, operation: Operation) -> Verdict:
+    """Decides the next step of a call, given the stored record.
 
     Raises:
-      errors.Refusal: The operation must not run, and no answer is kept.
+      errors.Refusal: The operation must not run, and no answer is stored.
     """
     if stored is None or stored.state is State.FREE:
         return Verdict(Step.CLAIM)
@@ -185,17 +189,17 @@
         raise errors.Refusal(
             errors.Code.IDEMPOTENCY_KEY_REUSED,
             errors.Step.OPERATION,
-            "the idempotency key came before with another request",
+            "the idempotency key was used before for another request",
             not_run=False,
         )
     if stored.state is State.CLAIMED:
-        raise unknown("its end is not known (yet)")
+        raise unknown("the end of that call is not known (yet)")
     if stored.body is None:
         raise errors.Refusal(
             errors.Code.ALREADY_RUN,
             errors.Step.OPERATION,
             f"the operation ran with status {stored.status}; "
-            "its answer is not kept",
+            "its answer was not stored",
             not_run=False,
         )
     return Verdict(
--- a/src/currantcart/operation/register.py
+++ b/src/currantcart/operation/register.py
@@ -1,7 +1,7 @@
-"""Claims on operations, by compare-and-swap on the store.
+"""Claims on operations, by compare-and-swap in the store.
 
-A call runs only after its claim is known to be stored, and only one claim
-can be. A claim whose call may have run is never given back.
+A call runs only after its claim is known to be stored, and there can be only
+one claim. A claim whose call may have run is never released.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """A claim that is known to be stored.
 
     Attributes:
-      operation: What it is a claim on.
+      operation: The claimed operation.
       index: Index of the stored record.
     """
 
@@ -44,12 +44,12 @@
 
 
 class Register:
-    """Operations of the whole fleet, as seen from one node.
+    """Operations of the complete fleet, as seen from one node.
 
     Attributes:
-      in_flight: Claims under way; beyond `IN_FLIGHT_MAX` calls are refused,
-        since the store takes a bounded number of writes a second.
-      writes: For the cost of an operation.
+      in_flight: Claims in progress; beyond `IN_FLIGHT_MAX` calls are refused,
+        since the store accepts a limited number of writes per second.
+      writes: Writes to the store, to measure the cost of an operation.
     """
 
     def __init__(self, store: port.Store) -> None:
@@ -81,7 +81,7 @@
     async def try_claim(
         self, operation: model.Operation
     ) -> Claim | model.FirstAnswer:
-        """Reads and swaps until one side is certain."""
+        """Swaps and reads until the state of the operation is certain."""
         record = model.encode(model.claimed(operation))
         index = 0
         for _ in range(ATTEMPTS_MAX):
@@ -91,29 +91,29 @@
                     operation.key, record, index=index
                 )
             except port.StoreOutcomeUnknown:
-                # It may have taken effect, or may yet: what is read next
-                # decides, and a claim found there under this id is ours.
+                # The write may have taken effect or may still do so. The next
+                # read decides: a claim with this id belongs to this call.
                 pass
             entry = await self.store.get(operation.key)
             stored = model.decode(entry.value) if entry.index else None
-            verdict = model.judge(stored, operation)
+            verdict = model.decide(stored, operation)
             if verdict.answer is not None:
                 return verdict.answer
             if verdict.step is model.Step.RUN:
                 return Claim(operation, entry.index)
             index = entry.index
-        raise unavailable("the store gave no clear answer")
+        raise unavailable("the claim could not be confirmed in the store")
 
     async def complete(self, claim: Claim, answer: model.FirstAnswer) -> None:
-        """Keeps the answer of an operation that ran."""
+        """Stores the answer of an operation that ran."""
         await self.finish(claim, model.done(claim.operation, answer))
 
     async def give_back(self, claim: Claim) -> None:
-        """Frees an operation that certainly did not run."""
+        """Releases an operation that certainly did not run."""
         await self.finish(claim, model.freed(claim.operation))
 
-    async def finish(self, claim: Claim, record: model.StoredText) -> None:
-        """Replaces a claim; one that stays only makes repeats refused."""
+    async def finish(self, claim: Claim, record: model.Record) -> None:
+        """Replaces a claim; if that fails, it stays and retries are refused."""
         for _ in range(ATTEMPTS_MAX):
             try:
                 self.writes += 1
--- a/tests/fleet/test_target_record.py
+++ b/tests/fleet/test_target_record.py
@@ -1,4 +1,4 @@
-"""Which reports of a target count."""
+"""Tests which reports of a target are accepted."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
     return record
 
 
-def test_a_late_report_of_an_earlier_start_is_passed_over() -> None:
+def test_a_late_report_of_an_earlier_incarnation_is_ignored() -> None:
     record = restored()
     assert record.take(report(born=200))
     assert not record.take(report(born=100, sequence=9))
 
 
-def test_a_target_that_starts_again_counts_from_the_beginning() -> None:
+def test_the_sequence_starts_again_with_each_incarnation() -> None:
     record = restored()
     assert record.take(report(sequence=50))
     assert record.take(report(sequence=1, born=200))
@@ -43,14 +43,14 @@
 def test_leaving_is_final_within_an_incarnation(
     leaving: Phase, sequence: int
 ) -> None:
-    """A heartbeat from before the leave arrives seconds after it."""
+    """A heartbeat sent before the leave may arrive seconds after it."""
     record = restored()
     record.take(report(sequence=4))
     assert record.take(report(leaving, sequence=5))
     assert not record.take(report(sequence=sequence))
 
 
-def test_a_leave_without_incarnation_speaks_of_the_present_one() -> None:
+def test_a_leave_without_incarnation_refers_to_the_present_one() -> None:
     record = restored()
     record.take(report(sequence=4))
     assert record.take(report(Phase.LEFT, sequence=0, born=0))
@@ -58,21 +58,21 @@
     assert record.take(report(sequence=1, born=300))
 
 
-def test_what_the_process_before_heard_binds_the_next_one() -> None:
+def test_the_restored_record_binds_the_next_process() -> None:
     record = target_record.TargetRecord()
     record.restore(report(Phase.DRAINING, sequence=7))
     assert not record.take(report(sequence=6))
     assert not record.take(report(sequence=8))
 
 
-def test_with_the_store_away_a_second_report_is_awaited() -> None:
+def test_with_the_store_unavailable_a_second_report_is_needed() -> None:
     record = target_record.TargetRecord()
     assert not record.take(report(sequence=3))
     assert not record.take(report(sequence=3))
     assert record.take(report(sequence=4))
 
 
-def test_every_order_of_reports_ends_with_the_last_word() -> None:
+def test_every_order_of_reports_ends_with_the_leave() -> None:
     reports = [
         report(sequence=1),
         report(sequence=2),
--- a/tests/operation/test_register.py
+++ b/tests/operation/test_register.py
@@ -1,4 +1,4 @@
-"""Claims on operations over generated histories of store faults and races."""
+"""Tests claims on operations with generated store faults and races."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FaultyStore(MemoryStore):
-    """A store whose writes meet the faults of a list, one after another."""
+    """A store whose writes fail according to a list, one after another."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__()
@@ -37,7 +37,7 @@
     ) -> bool:
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "late":
-            # The answer is lost and the write takes effect afterwards.
+            # The answer is lost, and the write takes effect later.
             asyncio.get_running_loop().call_later(
                 0.02, self.swap, key, value, index
             )
@@ -73,26 +73,26 @@
 async def run_callers(
     store: MemoryStore, callers: list[tuple[float, str]]
 ) -> list[str]:
-    """Lets callers repeat one operation and returns what ran."""
+    """Has callers retry one operation; returns which of them ran it."""
     ran: list[str] = []
 
     async def call(number: int, delay: float, ending: str) -> None:
         await asyncio.sleep(delay)
-        own = register.Register(store)
+        node_register = register.Register(store)
         try:
-            begun = await own.claim(operation(f"c{number}"))
+            result = await node_register.claim(operation(f"c{number}"))
         except errors.Refusal:
             return
-        if not isinstance(begun, register.Claim):
+        if not isinstance(result, register.Claim):
             assert ran
             return
         if ending == "not run":
-            await own.give_back(begun)
+            await node_register.give_back(result)
             return
         ran.append(f"c{number}")
         await asyncio.sleep(0.01)
         if ending == "answer":
-            await own.complete(begun, ANSWER)
+            await node_register.complete(result, ANSWER)
 
     await asyncio.gather(*(call(n, *c) for n, c in enumerate(callers)))
     return ran
@@ -107,11 +107,11 @@
 def test_operation_runs_at_most_once(
     callers: list[tuple[float, str]], faults: list[str]
 ) -> None:
-    """Nodes race, die after they ran it, and the store loses answers."""
+    """Nodes race or die after the run, and the store loses answers."""
     assert len(search(callers, faults)) <= 1
 
 
-def test_checker_sees_a_claim_that_is_not_read_back(
+def test_search_detects_a_claim_that_is_not_read_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def trusting(
@@ -125,69 +125,69 @@
     assert len(search([(0.0, "answer"), (0.05, "answer")], [])) > 1
 
 
-async def test_repeat_gets_the_first_answer() -> None:
-    own = register.Register(MemoryStore())
-    begun = await own.claim(operation("a"))
-    assert isinstance(begun, register.Claim)
-    await own.complete(begun, ANSWER)
-    assert await own.claim(operation("b")) == ANSWER
-    assert own.writes == 3
+async def test_retry_gets_the_first_answer() -> None:
+    node_register = register.Register(MemoryStore())
+    result = await node_register.claim(operation("a"))
+    assert isinstance(result, register.Claim)
+    await node_register.complete(result, ANSWER)
+    assert await node_register.claim(operation("b")) == ANSWER
+    assert node_register.writes == 3
 
 
 async def code_of(
-    own: register.Register, wanted: model.Operation
+    node_register: register.Register, wanted: model.Operation
 ) -> tuple[errors.Code, bool]:
     with pytest.raises(errors.Refusal) as caught:
-        await own.claim(wanted)
+        await node_register.claim(wanted)
     return caught.value.code, caught.value.not_run
 
 
-async def test_repeat_while_the_first_runs_is_unknown() -> None:
-    own = register.Register(MemoryStore())
-    await own.claim(operation("a"))
+async def test_retry_while_the_first_call_runs_is_refused_as_unknown() -> None:
+    node_register = register.Register(MemoryStore())
+    await node_register.claim(operation("a"))
     expected = (errors.Code.OUTCOME_UNKNOWN, False)
-    assert await code_of(own, operation("b")) == expected
+    assert await code_of(node_register, operation("b")) == expected
 
 
-async def test_large_answer_is_not_kept_and_said_so() -> None:
-    own = register.Register(MemoryStore())
-    begun = await own.claim(operation("a"))
-    assert isinstance(begun, register.Claim)
+async def test_retry_after_an_answer_too_large_to_store_is_refused() -> None:
+    node_register = register.Register(MemoryStore())
+    result = await node_register.claim(operation("a"))
+    assert isinstance(result, register.Claim)
     large = model.FirstAnswer(200, "", b"x" * (model.ANSWER_BYTES_MAX + 1))
-    await own.complete(begun, large)
+    await node_register.complete(result, large)
     expected = (errors.Code.ALREADY_RUN, False)
-    assert await code_of(own, operation("b")) == expected
+    assert await code_of(node_register, operation("b")) == expected
 
 
 @pytest.mark.parametrize("other", [{"body": b"x"}, {"workspace": "shop"}])
 async def test_same_key_with_another_request_is_refused(
     other: dict[str, bytes | str],
 ) -> None:
-    own = register.Register(MemoryStore())
-    begun = await own.claim(operation("a"))
-    assert isinstance(begun, register.Claim)
-    await own.complete(begun, ANSWER)
+    node_register = register.Register(MemoryStore())
+    result = await node_register.claim(operation("a"))
+    assert isinstance(result, register.Claim)
+    await node_register.complete(result, ANSWER)
     wanted = operation("b", **other)  # type: ignore[arg-type]
     expected = (errors.Code.IDEMPOTENCY_KEY_REUSED, False)
-    assert await code_of(own, wanted) == expected
+    assert await code_of(node_register, wanted) == expected
 
 
-async def test_store_that_is_down_runs_nothing() -> None:
+async def test_nothing_runs_while_the_store_is_down() -> None:
     store = MemoryStore()
     store.down = True
     expected = (errors.Code.STORE_UNAVAILABLE, True)
-    own = register.Register(store)
-    assert await code_of(own, operation("a")) == expected
+    node_register = register.Register(store)
+    assert await code_of(node_register, operation("a")) == expected
 
 
-async def test_more_than_the_store_takes_is_refused_as_not_run() -> None:
-    own = register.Register(MemoryStore())
-    own.in_flight = register.IN_FLIGHT_MAX
+async def test_claims_beyond_the_limit_are_refused_as_not_run() -> None:
+    node_register = register.Register(MemoryStore())
+    node_register.in_flight = register.IN_FLIGHT_MAX
     expected = (errors.Code.STORE_UNAVAILABLE, True)
-    assert await code_of(own, operation("a")) == expected
+    assert await code_of(node_register, operation("a")) == expected
 
 
-async def test_record_that_cannot_be_read_runs_nothing() -> None:
+async def test_nothing_runs_if_the_record_cannot_be_decoded() -> None:
     store = MemoryStore()
     wanted = operation("a")
     store.put(wanted.key, b"\xff")
