--- a/src/currantcart/admission/__init__.py
+++ b/src/currantcart/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission at a target: queue, limit, shedding; throttle at the edge."""
+"""Admission control: queues, limits, load shedding, ingress throttling."""
--- a/src/currantcart/admission/connections.py
+++ b/src/currantcart/admission/connections.py
@@ -1,72 +1,78 @@
-"""How many connections of callers a node keeps, and which it lets go.
+"""Bounds the connections that callers may hold open at a node.
 
-Callers that are refused come back on new connections and keep the old ones
-for as long as their idle time allows. Without a bound a burst of refusals
-uses up the node's descriptors. It can then neither accept nor reach its
-target, and reads what waited in the kernel only after its callers have left.
+Refused callers reconnect, and keep their old connections open until the idle
+time-out. Without a bound, a burst of refusals exhausts the node's file
+descriptors: it can then neither accept connections nor connect to its target,
+and by the time it reads the requests queued in the kernel, their callers have
+left.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-FILES = 200
-"""Descriptors that are left for files."""
-STREAMS_A_PEER = 2
-CONNECTIONS_A_SLOT = 2
-"""A target's slot may have a connection at work and one that is closing."""
-OTHERS = 64
-"""Descriptors for probes, reports, the store and the listening sockets."""
-LEAST = 64
-CROWDED = 0.4
-"""Part of the limit from which a caller that is refused is sent on.
-
-It comes back on a new connection anyway, so closing costs it nothing, and a
-flood of refusals leaves time to act on what is kept.
+FILE_DESCRIPTORS = 200
+"""File descriptors reserved for files."""
+STREAMS_PER_PEER = 2
+CONNECTIONS_PER_SLOT = 2
+"""A slot may have one connection in use and another that is closing."""
+OTHER_DESCRIPTORS = 64
+"""File descriptors for probes, reports, the store and listening sockets."""
+CALLER_CONNECTIONS_MIN = 64
+CLOSE_FAILED_SHARE = 0.4
+"""Share of the limit from which a failed response closes its connection.
+
+A refused caller reconnects anyway, so closing costs it nothing, and during a
+flood of refusals the node keeps time to serve the remaining connections.
 """
-NEARLY_FULL = 0.75
-"""Part of the limit from which every answer closes its connection.
+CLOSE_ALL_SHARE = 0.75
+"""Share of the limit from which every response closes its connection.
 
-Idle connections are closed down to it too, the longest idle first.
+Idle connections above it are closed as well, the longest idle first.
 """
 
 
 def caller_limit(*, descriptors: int, peers: int, slots: int) -> int:
-    """Returns how many connections callers may have.
+    """Returns how many connections callers may hold open.
 
     Args:
-      descriptors: What the process may open in all.
-      peers: Nodes to which streams stand.
-      slots: Requests that the target runs at once.
+      descriptors: File descriptors that the process may open in total.
+      peers: Nodes that this node has streams to.
+      slots: Requests that the target runs concurrently.
     """
-    own = FILES + OTHERS + peers * STREAMS_A_PEER + slots * CONNECTIONS_A_SLOT
-    return max(LEAST, descriptors - own)
+    reserved = (
+        FILE_DESCRIPTORS
+        + OTHER_DESCRIPTORS
+        + peers * STREAMS_PER_PEER
+        + slots * CONNECTIONS_PER_SLOT
+    )
+    return max(CALLER_CONNECTIONS_MIN, descriptors - reserved)
 
 
 @dataclasses.dataclass(slots=True)
 class ConnectionLimit:
-    """The bound on callers' connections.
+    """Limit on the number of open caller connections.
 
     Attributes:
-      limit: Connections that callers may have.
+      limit: Connections that callers may hold open.
     """
 
     limit: int
 
     def closes_after(self, *, opened: int, failed: bool) -> bool:
-        """Tells whether an answer is the last one on its connection.
+        """Returns whether a response closes its connection.
 
         Args:
-          opened: Connections that callers have.
-          failed: Whether the answer is no success.
+          opened: Caller connections that are open.
+          failed: Whether the response is not a success.
         """
-        part = CROWDED if failed else NEARLY_FULL
-        return opened >= self.limit * part
+        share = CLOSE_FAILED_SHARE if failed else CLOSE_ALL_SHARE
+        return opened >= self.limit * share
 
     def surplus(self, opened: int) -> int:
-        """Returns how many idle connections are too many."""
-        return max(0, opened - int(self.limit * NEARLY_FULL))
+        """Returns how many idle connections to close."""
+        return max(0, opened - int(self.limit * CLOSE_ALL_SHARE))
 
     def is_full(self, opened: int) -> bool:
-        """Tells whether one connection must go for each that comes."""
+        """Returns whether each new connection requires closing another."""
         return opened > self.limit
--- a/src/currantcart/admission/controller.py
+++ b/src/currantcart/admission/controller.py
@@ -148,7 +148,7 @@
           What runs or is given up now.
         """
         if overloaded:
-            self.limit.overloaded()
+            self.limit.cut_for_overload()
         elif latency_ms is not None:
             self.limit.record(latency_ms, running=self.running, now=now)
             weight = SERVICE_TIME_WEIGHT if self.service_ms else 1.0
--- a/src/currantcart/admission/returns.py
+++ b/src/currantcart/admission/returns.py
@@ -1,30 +1,30 @@
-"""When a caller that was refused is told to come back.
+"""Retry delay that is sent to refused callers.
 
-What is refused is refused for a moment's surplus of demand; the next moment
-has room, or the demand stays too high and every moment is as good as another.
-So a caller is best told the latest moment at which its answer would still
-meet the latency objective. Told the moment at which the next token is due, all
-that were refused come back into the same surplus and spend the one return
-that they have.
+A request is refused because demand exceeds capacity at that moment. Either
+capacity is free again soon, or demand stays too high and no later moment is
+better than another. A caller is therefore asked to retry as late as its
+response can still meet the latency objective. If it were sent the time at which
+the next token is due, all refused callers would retry into the same excess and
+use up their one retry.
 """
 
 from __future__ import annotations
 
 WAIT_OF_OBJECTIVE = 0.4
-"""Part of the latency objective that a refused caller waits.
+"""Share of the latency objective that a refused caller waits.
 
-With more, answers to those that return are late; with less, fewer of them
-find room.
+With a larger share, responses to retries are late; with a smaller one, more
+retries are refused again.
 """
 WAIT_MS_MAX = 2_000.0
 
 
 def return_after_ms(*, objective_ms: float, least_ms: float = 0.0) -> float:
-    """Returns when a refused request may come back.
+    """Returns the delay after which a refused request may be retried, in ms.
 
     Args:
-      objective_ms: Latency objective of its route.
-      least_ms: Time before which it would surely be refused again.
+      objective_ms: Latency objective of the route.
+      least_ms: Delay before which a retry would be refused for certain.
     """
     wait = max(WAIT_OF_OBJECTIVE * objective_ms, least_ms)
     return min(WAIT_MS_MAX, wait)
--- a/src/currantcart/admission/speed.py
+++ b/src/currantcart/admission/speed.py
@@ -1,4 +1,4 @@
-"""How long a target works on a request, as callers' nodes are told."""
+"""Work time of a target, as reported to the nodes of its callers."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 import math
 
 SMOOTHING = 0.02
-MEASURED_MIN = 30
+SAMPLES_MIN = 30
 
 
 @dataclasses.dataclass(slots=True)
 class Speed:
-    """Smoothed time of a target's work, as a geometric mean.
+    """Smoothed work time of a target, as a geometric mean.
 
-    A service's requests differ widely in work, and the arithmetic means of
-    alike targets differ with the few long ones that each happens to get. The
-    geometric mean hardly feels those, and a slow target is as plain in it.
+    The requests of a service differ widely in work, so the arithmetic means of
+    equal targets differ by the few long requests that each happens to receive.
+    These hardly affect the geometric mean, which shows a slow target as well.
 
     Attributes:
-      log_ms: Mean logarithm of what was measured lately.
-      measured: Requests that were measured.
+      log_ms: Smoothed logarithm of the work times in ms.
+      samples: Requests that were measured.
     """
 
     log_ms: float = 0.0
-    measured: int = 0
+    samples: int = 0
 
     def note(self, work_ms: float) -> None:
-        """Takes a request that the target ran to a good end.
+        """Records the work time of a request that the target completed.
 
-        What it refuses or fails takes it no time, and would make a target
-        that is ill look fast.
+        Refused and failed requests take hardly any time and would make a
+        faulty target look fast, so they are not recorded.
         """
-        self.measured += 1
-        weight = max(SMOOTHING, 1.0 / self.measured)
+        self.samples += 1
+        weight = max(SMOOTHING, 1.0 / self.samples)
         self.log_ms += weight * (math.log(max(work_ms, 0.1)) - self.log_ms)
 
     @property
     def reported_ms(self) -> float:
-        """The time as it is told; 0 while too little was measured."""
-        return math.exp(self.log_ms) if self.measured >= MEASURED_MIN else 0.0
+        """The work time to report, in ms; 0 while there are too few samples."""
+        return math.exp(self.log_ms) if self.samples >= SAMPLES_MIN else 0.0
--- a/src/currantcart/admission/throttle.py
+++ b/src/currantcart/admission/throttle.py
@@ -1,11 +1,12 @@
-"""Throttle at the node that takes a call: the edge sheds first.
+"""Throttling at the ingress node: calls are shed where they enter.
 
 A call refused deep in a chain has already cost every service above it. The
-level at which a deep service sheds travels back on answers; the edge then
-refuses, by itself, the part of such calls that would be refused below anyway.
-The share follows the accepted ones (the client-side throttling of Google's SRE
-book, chapter 21), apart for each service, workspace and priority, so a
-workspace that floods does not use up the chances of the others.
+level at which a deep service sheds is passed back on responses; the ingress
+node then refuses locally the share of such calls that would be refused further
+down anyway. The share follows the accepted calls (client-side throttling,
+Google SRE book, chapter 21), separately for each service, workspace and
+priority, so that a workspace with excessive load does not use up the others'
+chances.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from currantcart.graph import model as graph_model
 
 HALF_WINDOW_MS = 500.0
-OVERSEND = 1.5
-LEVEL_MEMORY_MS = 500.0
-MINIMUM_REQUESTS = 10
+ACCEPT_MULTIPLIER = 1.5
+LEVEL_TTL_MS = 500.0
+REQUESTS_MIN = 10
 IDLE_MS = 10_000.0
-SWEEP_AT = 1_024
+TALLIES_BEFORE_EVICTION = 1_024
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """Requests and accepts in the present and the previous half window."""
+    """Requests and accepts in the current and the previous half window."""
 
     started_ms: float
     requests: float = 0.0
@@ -33,25 +34,27 @@
     previous_requests: float = 0.0
     previous_accepts: float = 0.0
 
-    def turn(self, now: float) -> None:
-        """Moves on to the half window of a time."""
+    def advance(self, now: float) -> None:
+        """Advances to the half window that contains a time."""
         elapsed_ms = now - self.started_ms
         if elapsed_ms < HALF_WINDOW_MS:
             return
-        fresh = elapsed_ms < 2 * HALF_WINDOW_MS
-        self.previous_requests = self.requests if fresh else 0.0
-        self.previous_accepts = self.accepts if fresh else 0.0
+        is_recent = elapsed_ms < 2 * HALF_WINDOW_MS
+        self.previous_requests = self.requests if is_recent else 0.0
+        self.previous_accepts = self.accepts if is_recent else 0.0
         self.requests = 0.0
         self.accepts = 0.0
         self.started_ms = now
 
     def refuse_share(self) -> float:
-        """Returns the share of calls to refuse here, 0 to 1."""
+        """Returns the share of calls to refuse locally, 0 to 1."""
         requests = self.requests + self.previous_requests
-        if requests < MINIMUM_REQUESTS:
+        if requests < REQUESTS_MIN:
             return 0.0
         accepts = self.accepts + self.previous_accepts
-        return max(0.0, (requests - OVERSEND * accepts) / (requests + 1.0))
+        return max(
+            0.0, (requests - ACCEPT_MULTIPLIER * accepts) / (requests + 1.0)
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,40 +67,40 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Level:
-    """A shedding level heard of, and until when it counts."""
+class ShedLevel:
+    """A shedding level received on a response, and when it expires."""
 
     priority: int
     until_ms: float
 
 
 class EdgeThrottle:
-    """What this node learned about shedding from answers."""
+    """Ingress throttle, driven by the shedding levels on responses."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
         self.tallies: dict[Stream, Tally] = {}
-        self.levels: dict[str, Level] = {}
+        self.levels: dict[str, ShedLevel] = {}
 
     def level(self, service: str, now: float) -> int:
-        """Returns the level at which calls to a service are shed below."""
+        """Returns the priority up to which a service sheds calls."""
         level = self.levels.get(service)
         if level is None or level.until_ms <= now:
             return graph_model.NO_SHEDDING
         return level.priority
 
     def tally(self, stream: Stream, now: float) -> Tally:
-        """Returns the tally of a stream, turned to the present."""
+        """Returns the tally of a stream, advanced to the current time."""
         tally = self.tallies.get(stream)
         if tally is None:
-            if len(self.tallies) >= SWEEP_AT:
-                self.sweep(now)
+            if len(self.tallies) >= TALLIES_BEFORE_EVICTION:
+                self.evict_idle(now)
             tally = self.tallies[stream] = Tally(started_ms=now)
-        tally.turn(now)
+        tally.advance(now)
         return tally
 
-    def sweep(self, now: float) -> None:
-        """Drops tallies that have been idle."""
+    def evict_idle(self, now: float) -> None:
+        """Evicts tallies that have been idle."""
         self.tallies = {
             stream: tally
             for stream, tally in self.tallies.items()
@@ -105,7 +108,7 @@
         }
 
     def admit(self, stream: Stream, now: float) -> bool:
-        """Decides whether a call goes on from here."""
+        """Returns whether a call is admitted, counting it as a request."""
         tally = self.tally(stream, now)
         tally.requests += 1
         if stream.priority > self.level(stream.service, now):
@@ -115,19 +118,19 @@
     def answered(
         self, stream: Stream, *, accepted: bool, shed_level: int, now: float
     ) -> None:
-        """Learns from an answer.
+        """Records the outcome of a call and the shedding level it returned.
 
         Args:
           stream: Stream of the call.
-          accepted: Whether the call was served, not shed, all the way down.
-          shed_level: Level that came back on the answer.
-          now: Present time.
+          accepted: Whether no service in the chain shed the call.
+          shed_level: Shedding level on the response.
+          now: Current time, in ms.
         """
         if accepted:
             self.tally(stream, now).accepts += 1
         if shed_level > graph_model.NO_SHEDDING:
-            present = self.level(stream.service, now)
-            self.levels[stream.service] = Level(
-                priority=max(present, shed_level),
-                until_ms=now + LEVEL_MEMORY_MS,
+            current = self.level(stream.service, now)
+            self.levels[stream.service] = ShedLevel(
+                priority=max(current, shed_level),
+                until_ms=now + LEVEL_TTL_MS,
             )
--- a/tests/admission/test_connections.py
+++ b/tests/admission/test_connections.py
@@ -1,4 +1,4 @@
-"""How many connections of callers are kept, and which are let go."""
+"""Tests of the limit on caller connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     ("descriptors", "peers", "slots", "limit"),
     [(4_100, 12, 209, 3_394), (4_100, 90, 126, 3_404), (512, 90, 209, 64)],
 )
-def test_callers_get_what_streams_slots_and_files_leave(
+def test_caller_limit_leaves_room_for_streams_slots_and_files(
     descriptors: int, peers: int, slots: int, limit: int
 ) -> None:
     assert (
@@ -31,16 +31,16 @@
         (750, False, True),
     ],
 )
-def test_refused_callers_are_sent_on_long_before_the_others(
+def test_failed_responses_close_connections_earlier_than_others(
     opened: int, failed: bool, closes: bool
 ) -> None:
-    bound = connections.ConnectionLimit(1_000)
-    assert bound.closes_after(opened=opened, failed=failed) is closes
+    connection_limit = connections.ConnectionLimit(1_000)
+    assert connection_limit.closes_after(opened=opened, failed=failed) is closes
 
 
-def test_idle_connections_go_down_to_where_answers_close() -> None:
-    bound = connections.ConnectionLimit(1_000)
-    assert bound.surplus(750) == 0
-    assert bound.surplus(800) == 50
-    assert not bound.is_full(1_000)
-    assert bound.is_full(1_001)
+def test_idle_connections_above_the_closing_share_are_surplus() -> None:
+    connection_limit = connections.ConnectionLimit(1_000)
+    assert connection_limit.surplus(750) == 0
+    assert connection_limit.surplus(800) == 50
+    assert not connection_limit.is_full(1_000)
+    assert connection_limit.is_full(1_001)
--- a/tests/admission/test_returns.py
+++ b/tests/admission/test_returns.py
@@ -1,4 +1,4 @@
-"""What refused callers get, by the time at which they are told to return."""
+"""Tests of the retry delay by the value that refused callers still get."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 RATE = 20.0
 WORK_OF_OBJECTIVE = 0.2
 DEADLINE_OF_OBJECTIVE = 3.4
-LATE_WORTH = 0.3
-RETURNS_MAX = 1
+LATE_VALUE = 0.3
+RETRIES_MAX = 1
 SEEDS = range(6)
 
 Demand = Callable[[float], float]
-Wait = Callable[[float, float], float]
+RetryDelay = Callable[[float, float], float]
 
 
-def clumps(seconds: float) -> float:
+def bursts(seconds: float) -> float:
     return 3 * RATE if seconds % 6 < 1 else 0.6 * RATE
 
 
@@ -48,85 +48,94 @@
     return 1_200.0
 
 
-def play(
-    demand: Demand, wait: Wait, *, objective_ms: float, seed: int
+def simulate(
+    demand: Demand, retry_delay: RetryDelay, *, objective_ms: float, seed: int
 ) -> tuple[float, float]:
-    """Plays 40 s of one workspace; returns worth and refused returns, 0 to 1.
+    """Simulates 40 s of one workspace.
 
-    Callers wait as they are told, up to a third of the time they have left,
-    and return once.
+    Callers wait for the delay they are sent, up to a third of their time left,
+    and retry once.
+
+    Returns:
+      The value served and the retries refused, both per request sent, 0 to 1.
     """
     rng = random.Random(seed)
-    rates = quota.Quotas()
-    rates.configure({"mill": (RATE, RATE)}, 0.0)
+    quotas = quota.Quotas()
+    quotas.configure({"mill": (RATE, RATE)}, 0.0)
     arrivals: list[tuple[float, int, float, int]] = []
-    at = 0.0
-    while at < 40_000:
-        at += rng.expovariate(demand(at / 1_000) / 1_000)
-        arrivals.append((at, len(arrivals), at, 0))
-    sent, worth, refused = len(arrivals), 0.0, 0
+    arrival_ms = 0.0
+    while arrival_ms < 40_000:
+        arrival_ms += rng.expovariate(demand(arrival_ms / 1_000) / 1_000)
+        arrivals.append((arrival_ms, len(arrivals), arrival_ms, 0))
+    sent, value, refused = len(arrivals), 0.0, 0
     while arrivals:
-        now, number, first, tries = heapq.heappop(arrivals)
-        token_ms = rates.admit("mill", now)
+        now, number, first, retries = heapq.heappop(arrivals)
+        token_ms = quotas.admit("mill", now)
         if not token_ms:
             took = now - first + WORK_OF_OBJECTIVE * objective_ms
-            worth += 1.0 if took <= objective_ms else LATE_WORTH
-        elif tries >= RETURNS_MAX:
+            value += 1.0 if took <= objective_ms else LATE_VALUE
+        elif retries >= RETRIES_MAX:
             refused += 1
         else:
             left = first + DEADLINE_OF_OBJECTIVE * objective_ms - now
-            after = wait(token_ms, objective_ms) * rng.uniform(0.75, 1.25)
-            back = now + min(after, left / 3)
-            heapq.heappush(arrivals, (back, number, first, tries + 1))
-    return worth / sent, refused / sent
+            after = retry_delay(token_ms, objective_ms) * rng.uniform(
+                0.75, 1.25
+            )
+            retry_at = now + min(after, left / 3)
+            heapq.heappush(arrivals, (retry_at, number, first, retries + 1))
+    return value / sent, refused / sent
 
 
-def mean(
-    demand: Demand, wait: Wait, *, objective_ms: float = 1_500.0
+def mean_over_seeds(
+    demand: Demand, retry_delay: RetryDelay, *, objective_ms: float = 1_500.0
 ) -> tuple[float, float]:
-    """Returns the means over all seeds."""
-    played = [
-        play(demand, wait, objective_ms=objective_ms, seed=seed)
+    """Returns the mean value and refusals over all seeds."""
+    results = [
+        simulate(demand, retry_delay, objective_ms=objective_ms, seed=seed)
         for seed in SEEDS
     ]
-    worth, refused = zip(*played, strict=True)
-    return sum(worth) / len(played), sum(refused) / len(played)
+    value, refused = zip(*results, strict=True)
+    return sum(value) / len(results), sum(refused) / len(results)
 
 
 @pytest.mark.parametrize("objective_ms", [300.0, 800.0, 1_500.0, 2_500.0])
-@pytest.mark.parametrize("demand", [clumps, wave, flood])
-def test_no_load_serves_its_callers_worse_than_the_next_token_does(
+@pytest.mark.parametrize("demand", [bursts, wave, flood])
+def test_no_load_is_served_worse_than_by_waiting_for_the_next_token(
     demand: Demand, objective_ms: float
 ) -> None:
-    worth, refused = mean(demand, by_objective, objective_ms=objective_ms)
-    before, refused_before = mean(demand, by_token, objective_ms=objective_ms)
-    assert worth >= before - 0.005
-    assert refused <= refused_before + 0.005
+    value, refused = mean_over_seeds(
+        demand, by_objective, objective_ms=objective_ms
+    )
+    baseline, baseline_refused = mean_over_seeds(
+        demand, by_token, objective_ms=objective_ms
+    )
+    assert value >= baseline - 0.005
+    assert refused <= baseline_refused + 0.005
 
 
 @pytest.mark.parametrize(
-    ("demand", "gain"), [(clumps, 0.05), (wave, 0.03)], ids=["clumps", "wave"]
+    ("demand", "gain"), [(bursts, 0.05), (wave, 0.03)], ids=["bursts", "wave"]
 )
-def test_callers_refused_in_a_surplus_that_passes_find_room_later(
+def test_retries_after_a_passing_surplus_are_admitted(
     demand: Demand, gain: float
 ) -> None:
-    """Worth 0.81 to 0.88 in clumps and 0.80 to 0.84 in a wave."""
-    worth, refused = mean(demand, by_objective)
-    before, refused_before = mean(demand, by_token)
-    assert worth > before + gain
-    assert refused < 0.85 * refused_before
+    """Value rises from 0.81 to 0.88 in bursts, from 0.80 to 0.84 in a wave."""
+    value, refused = mean_over_seeds(demand, by_objective)
+    baseline, baseline_refused = mean_over_seeds(demand, by_token)
+    assert value > baseline + gain
+    assert refused < 0.85 * baseline_refused
 
 
 @pytest.mark.parametrize("objective_ms", [300.0, 800.0, 1_500.0])
-def test_a_wait_that_outlasts_the_objective_is_worth_less(
+def test_a_delay_beyond_the_objective_lowers_the_value(
     objective_ms: float,
 ) -> None:
-    """With 1.2 s for all, those that return find room and answer too late."""
-    worth, _ = mean(flood, by_objective, objective_ms=objective_ms)
-    fixed, _ = mean(flood, by_fixed_time, objective_ms=objective_ms)
-    assert worth > fixed + 0.02
+    """Guards against a fixed delay: after 1.2 s, retries are too late."""
+    value, _ = mean_over_seeds(flood, by_objective, objective_ms=objective_ms)
+    fixed, _ = mean_over_seeds(flood, by_fixed_time, objective_ms=objective_ms)
+    assert value > fixed + 0.02
 
 
-def test_nobody_is_told_to_return_before_there_can_be_room() -> None:
+def test_no_retry_before_a_token_can_be_available() -> None:
     assert returns.return_after_ms(objective_ms=300, least_ms=900) == 900
     assert returns.return_after_ms(objective_ms=60_000) == 2_000
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -1,4 +1,4 @@
-"""The edge sheds what would be shed below."""
+"""Tests of throttling at the ingress node."""
 
 from __future__ import annotations
 
@@ -13,35 +13,43 @@
 
 
 @pytest.fixture
-def edge() -> throttle.EdgeThrottle:
+def ingress() -> throttle.EdgeThrottle:
     return throttle.EdgeThrottle(rng=random.Random(1))
 
 
-def overload(edge: throttle.EdgeThrottle, *, until: int) -> None:
-    """Lets one of ten calls through below, each millisecond."""
+def overload(ingress: throttle.EdgeThrottle, *, until: int) -> None:
+    """Sends a call each millisecond, of which one in ten is accepted."""
     for now in range(until):
-        if edge.admit(BROWSE, now):
-            edge.answered(BROWSE, accepted=now % 10 == 0, shed_level=0, now=now)
+        if ingress.admit(BROWSE, now):
+            ingress.answered(
+                BROWSE, accepted=now % 10 == 0, shed_level=0, now=now
+            )
 
 
-def test_most_hopeless_calls_end_here(edge: throttle.EdgeThrottle) -> None:
-    overload(edge, until=400)
-    passed = sum(edge.admit(BROWSE, 400) for _ in range(1_000))
+def test_most_calls_that_would_be_shed_are_refused_at_ingress(
+    ingress: throttle.EdgeThrottle,
+) -> None:
+    overload(ingress, until=400)
+    passed = sum(ingress.admit(BROWSE, 400) for _ in range(1_000))
     assert passed < 400
 
 
-def test_payments_above_the_level_go_on(edge: throttle.EdgeThrottle) -> None:
-    overload(edge, until=400)
-    assert all(edge.admit(PAY, 400) for _ in range(100))
+def test_payments_above_the_level_are_admitted(
+    ingress: throttle.EdgeThrottle,
+) -> None:
+    overload(ingress, until=400)
+    assert all(ingress.admit(PAY, 400) for _ in range(100))
 
 
-def test_throttle_ends_with_the_overload(edge: throttle.EdgeThrottle) -> None:
-    overload(edge, until=400)
-    later = 400 + throttle.LEVEL_MEMORY_MS
-    assert all(edge.admit(BROWSE, later) for _ in range(100))
+def test_throttle_ends_with_the_overload(
+    ingress: throttle.EdgeThrottle,
+) -> None:
+    overload(ingress, until=400)
+    later = 400 + throttle.LEVEL_TTL_MS
+    assert all(ingress.admit(BROWSE, later) for _ in range(100))
 
 
-def test_idle_streams_are_forgotten(edge: throttle.EdgeThrottle) -> None:
-    for number in range(throttle.SWEEP_AT + 1):
-        edge.admit(throttle.Stream("s", str(number), 0), number * 20.0)
-    assert len(edge.tallies) < throttle.SWEEP_AT
+def test_idle_streams_are_evicted(ingress: throttle.EdgeThrottle) -> None:
+    for number in range(throttle.TALLIES_BEFORE_EVICTION + 1):
+        ingress.admit(throttle.Stream("s", str(number), 0), number * 20.0)
+    assert len(ingress.tallies) < throttle.TALLIES_BEFORE_EVICTION
