--- a/src/currantcart/admission/queue.py
+++ b/src/currantcart/admission/queue.py
@@ -1,8 +1,8 @@
-"""Bounded queue: importance first, then fairness, then deadline.
+"""Bounded queue, ordered by importance, then fairness, then arrival.
 
-Among calls of the same priority the workspace that was served least comes
-next (start-time fair queueing), so a workspace that floods waits behind its
-own calls and not in front of the others'.
+Among calls of the same priority, the workspace that was served least is next
+(start-time fair queueing). A workspace with excessive load therefore waits
+behind its own calls, and not ahead of the others'.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
     Attributes:
       call_id: Its id.
       workspace: Its workspace.
-      priority: Order under overload.
-      deadline_ms: When its caller gives up.
-      arrived_ms: When it came.
+      priority: Its priority; calls of a higher one are served first.
+      deadline_ms: When its caller stops waiting.
+      arrived_ms: When it arrived.
     """
 
     call_id: str
@@ -45,7 +45,7 @@
 
     Attributes:
       size: Calls that wait.
-      lanes: By priority.
+      lanes: Lanes by priority.
       tags: Virtual start time of each workspace's next call.
       virtual_time: Tag of the call served last.
     """
@@ -57,15 +57,15 @@
         self.virtual_time = 0.0
 
     def push(self, waiting: Waiting) -> None:
-        """Adds a call."""
+        """Appends a call to the queue of its workspace."""
         lane = self.lanes.setdefault(waiting.priority, Lane())
         lane.calls.setdefault(waiting.workspace, collections.deque()).append(
             waiting
         )
         self.size += 1
 
-    def take(self, waiting: Waiting) -> None:
-        """Removes a given call."""
+    def remove(self, waiting: Waiting) -> None:
+        """Removes a call from the queue."""
         lane = self.lanes[waiting.priority]
         calls = lane.calls[waiting.workspace]
         calls.remove(waiting)
@@ -81,10 +81,10 @@
         self.virtual_time = start
         self.tags[workspace] = start + 1.0
         if len(self.tags) > 2 * (self.size + 64):
-            self.forget_idle()
+            self.evict_idle_tags()
 
-    def forget_idle(self) -> None:
-        """Drops tags that no longer hold anyone back."""
+    def evict_idle_tags(self) -> None:
+        """Evicts tags that no longer affect the order."""
         self.tags = {
             name: tag
             for name, tag in self.tags.items()
@@ -92,10 +92,10 @@
         }
 
     def pop(self, *, newest_first: bool) -> Waiting:
-        """Takes the call that is served next.
+        """Removes and returns the call that is served next.
 
         Args:
-          newest_first: Serve a workspace's newest call instead of its oldest.
+          newest_first: Whether a workspace's newest call is served first.
 
         Returns:
           The call; the queue must not be empty.
@@ -103,19 +103,22 @@
         lane = self.lanes[max(self.lanes)]
         workspace = min(lane.calls, key=lambda name: self.tags.get(name, 0.0))
         calls = lane.calls[workspace]
-        chosen = calls[-1] if newest_first else calls[0]
-        self.take(chosen)
+        waiting = calls[-1] if newest_first else calls[0]
+        self.remove(waiting)
         self.charge(workspace)
-        return chosen
+        return waiting
 
     def victim(self) -> Waiting:
-        """Returns the call to drop first: least important, longest line."""
+        """Returns the call to drop first.
+
+        It is the oldest of the longest queue at the lowest priority.
+        """
         lane = self.lanes[min(self.lanes)]
         workspace = max(lane.calls, key=lambda name: len(lane.calls[name]))
         return lane.calls[workspace][0]
 
-    def ahead_of(self, priority: int) -> int:
-        """Counts the calls that would be served before a new one."""
+    def count_from(self, priority: int) -> int:
+        """Returns how many calls of a priority or higher are waiting."""
         return sum(
             len(calls)
             for level, lane in self.lanes.items()
@@ -123,19 +126,19 @@
             for calls in lane.calls.values()
         )
 
-    def fair_wait(self, workspace: str, priority: int) -> int:
-        """Counts the calls before a workspace's next one under fairness."""
-        higher = self.ahead_of(priority + 1)
+    def calls_ahead(self, workspace: str, priority: int) -> int:
+        """Returns how many calls are served before a workspace's next one."""
+        higher = self.count_from(priority + 1)
         lane = self.lanes.get(priority)
         if lane is None:
             return higher
-        own = len(lane.calls.get(workspace, ()))
+        same = len(lane.calls.get(workspace, ()))
         others = sum(
-            min(len(calls), own + 1)
+            min(len(calls), same + 1)
             for name, calls in lane.calls.items()
             if name != workspace
         )
-        return higher + own + others
+        return higher + same + others
 
     def __iter__(self) -> Iterator[Waiting]:
         """Yields all waiting calls."""
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""Admission: what runs, what waits, what is shed, over generated histories."""
+"""Tests of admission control, over generated histories and by example."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Model:
-    """What must hold of a controller, kept beside it."""
+    """Reference model of the calls that a controller runs and queues."""
 
     def __init__(self, slots: int) -> None:
         self.admission = controller.AdmissionController(slots=slots, now=0.0)
@@ -43,20 +43,20 @@
         self.running: list[str] = []
         self.open_calls: set[str] = set()
 
-    def give_up(self, dropped: Iterable[controller.Dropped]) -> None:
-        for one in dropped:
-            self.open_calls.remove(one.waiting.call_id)
+    def drop(self, dropped: Iterable[controller.Dropped]) -> None:
+        for each in dropped:
+            self.open_calls.remove(each.waiting.call_id)
 
-    def wait(self, elapsed_ms: float) -> None:
+    def advance(self, elapsed_ms: float) -> None:
         self.now += elapsed_ms
-        self.give_up(self.admission.expire(self.now))
+        self.drop(self.admission.expire(self.now))
 
     def finish(self, latency_ms: float) -> None:
         if self.running:
             self.open_calls.remove(self.running.pop(0))
             released = self.admission.finish(self.now, latency_ms=latency_ms)
             self.running += [call.call_id for call in released.started]
-            self.give_up(released.dropped)
+            self.drop(released.dropped)
 
     def call(
         self, number: int, workspace: str, priority: int, time_left: float
@@ -68,21 +68,21 @@
         if offer.verdict is controller.Verdict.RUN:
             self.running.append(call.call_id)
         assert all(d.waiting.priority <= priority for d in offer.dropped)
-        self.give_up(offer.dropped)
+        self.drop(offer.dropped)
         if offer.reason is controller.DropReason.QUEUE_FULL:
             assert all(w.priority >= priority for w in self.admission.queue)
 
 
 @given(STEPS, st.integers(1, 4))
-def test_no_history_breaks_the_rules(
+def test_generated_histories_keep_the_invariants(
     steps: list[tuple[Any, ...]], slots: int
 ) -> None:
-    """Each call has one end; the bounds and the order of importance hold."""
+    """Each call ends once; bounds and order of importance are kept."""
     model = Model(slots)
     admission = model.admission
     for number, (step, *values) in enumerate(steps):
         if step == "pass":
-            model.wait(*values)
+            model.advance(*values)
         elif step == "finish":
             model.finish(*values)
         else:
@@ -95,7 +95,7 @@
 
 
 def test_flood_of_one_workspace_leaves_the_others_their_share() -> None:
-    """A mill sends ten times what a shop sends, equally important."""
+    """Guards against starvation: one workspace sends ten times the other's."""
     admission = controller.AdmissionController(slots=1, now=0.0)
     admission.offer(waiting(0, "mill", 0, 1e9), 0.0)
     served: collections.Counter[str] = collections.Counter()
@@ -115,13 +115,13 @@
     admission.finish(0.0, latency_ms=100.0)
     admission.offer(waiting(1, "mill", 0, 1e9), 0.0)
     offer = admission.offer(waiting(2, "mill", 0, 150.0), 0.0)
-    assert offer.reason is controller.DropReason.DOOMED
+    assert offer.reason is controller.DropReason.DEADLINE_UNREACHABLE
 
 
-def test_shed_level_fades() -> None:
+def test_shed_level_expires() -> None:
     admission = controller.AdmissionController(slots=1, now=0.0)
-    admission.note_shed(9, 0.0)
-    admission.note_shed(3, 400.0)
+    admission.record_shed(9, 0.0)
+    admission.record_shed(3, 400.0)
     assert admission.shed_level(499.0) == 9
     assert admission.shed_level(500.0) == 3
     assert admission.shed_level(900.0) == graph_model.NO_SHEDDING
