--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -1,11 +1,11 @@
-"""Shedding root requests before work is spent on chains that can't finish.
-
-A deep service that is full refuses calls one by one; a chain needs several of
-them in turn, so a few refusals fail most chains, and all the work above was
-for nothing. So a full target tells how much of the demand has to go, every
-node passes that up along the services that call each other, and the node where
-a request begins sheds it there: the least urgent first, before any work, with
-a word on when to come back.
+"""Sheds root requests before work is spent on chains that can't finish.
+
+An overloaded deep service refuses calls one by one. A chain needs several of
+them in turn, so a few refusals fail most chains, and the work done for them is
+wasted. An overloaded target therefore reports which share of the demand has to
+be shed, and the nodes propagate that from called to calling services. The node
+where a request enters sheds it before any work is done, the least urgent first,
+and sends a retry delay with the refusal.
 """
 
 from __future__ import annotations
@@ -16,56 +16,60 @@
 from collections.abc import Iterable
 
 STEP_MS = 100.0
-"""Time between two steps of the gauge."""
+"""Time between two updates of the gauge."""
 RISE_PER_REFUSED = 0.3
 RISE_PER_WAIT = 0.02
-RISE_MOST = 0.12
-"""Most that one step adds.
+RISE_MAX = 0.12
+"""Largest increase of the level in one step.
 
-Demand takes some steps to come down to a deep service; a gauge that is much
-quicker than that swings between empty and full.
+A change of demand takes some steps to reach a deep service. A gauge that reacts
+much faster than that oscillates between no shedding and full shedding.
 """
 FALL = 0.012
-"""What a step takes off; small, so that the gauge rests near its place."""
-FALL_WITH_ROOM = 0.06
-"""The same while slots are free: shedding then turns callers away in vain."""
-ROOM = 0.75
-"""Part of the slots in use below which there is room."""
-TOLD_CHANGE = 0.04
-MOST = 0.9
+"""Decrease in one step; small, so that the level stays near its balance."""
+FALL_WITH_SPARE = 0.06
+"""Decrease while slots are free, when shedding refuses callers needlessly."""
+SPARE_UTILIZATION = 0.75
+"""Utilization of the slots below which there is spare capacity."""
+REPORTED_CHANGE_MIN = 0.04
+LEVEL_MAX = 0.9
 LEAST = 0.01
-STEPS = 256
-"""Steps of a level as it is told; a fraction of few bits compresses well."""
+LEVEL_STEPS = 256
+"""Steps of a reported level; a fraction of few bits compresses well."""
 WAIT_OF_OBJECTIVE = 0.15
 HISTOGRAM_HALF_LIFE_MS = 2_000.0
 SHED_SHARE_MAX = 0.85
-"""Most of one rank that is shed, so that none is starved."""
+"""Largest share of one rank that is shed, so that none is starved."""
 EVIDENCE_HALF_LIFE_MS = 30_000.0
 PRIOR_FAILED, PRIOR_ENDED = 1.0, 10.0
-DEPENDS_SHARE = 0.03
-PRESSED = 0.05
+DEPENDS_FAILED_SHARE = 0.03
+EVIDENCE_LEVEL_MIN = 0.05
 
 
 class Gauge:
-    """How much of the demand on one target has to go, 0 to 1.
+    """Share of the demand on one target that has to be shed, 0 to 1.
 
     Attributes:
-      level: The present word.
+      level: The current share.
+      updated_at: When the level was updated last.
+      refused: Requests refused since then.
+      accepted: Requests accepted since then.
+      reported: Level that was reported last.
     """
 
     def __init__(self) -> None:
         self.level = 0.0
-        self.at = 0.0
+        self.updated_at = 0.0
         self.refused = 0
-        self.taken = 0
-        self.told = 0.0
+        self.accepted = 0
+        self.reported = 0.0
 
     def note_offer(self, *, refused: bool) -> None:
-        """Takes what became of a request at the target's queue."""
+        """Counts a request that the target's queue refused or accepted."""
         if refused:
             self.refused += 1
         else:
-            self.taken += 1
+            self.accepted += 1
 
     def update(
         self,
@@ -75,42 +79,47 @@
         utilization: float,
         now: float,
     ) -> bool:
-        """Moves the level; returns whether it has changed much.
+        """Updates the level, at most once in each step.
 
         Args:
           wait_ms: Expected wait of a call that arrives now.
           objective_ms: Latency objective of the calls.
-          utilization: Part of the slots that is in use.
+          utilization: Share of the slots that is in use.
           now: Milliseconds of the node's clock.
+
+        Returns:
+          Whether the level has changed enough to be reported.
         """
-        if now - self.at < STEP_MS:
+        if now - self.updated_at < STEP_MS:
             return False
-        self.at = now
+        self.updated_at = now
         refused, self.refused = self.refused, 0
-        taken, self.taken = self.taken, 0
+        accepted, self.accepted = self.accepted, 0
         rise = 0.0
         if refused:
-            rise += RISE_PER_REFUSED * refused / (refused + taken)
-        over = wait_ms / (objective_ms * WAIT_OF_OBJECTIVE) - 1.0
-        if over > 0.0:
-            rise += RISE_PER_WAIT * min(2.0, over)
+            rise += RISE_PER_REFUSED * refused / (refused + accepted)
+        excess = wait_ms / (objective_ms * WAIT_OF_OBJECTIVE) - 1.0
+        if excess > 0.0:
+            rise += RISE_PER_WAIT * min(2.0, excess)
         if rise:
-            self.level += min(RISE_MOST, rise)
+            self.level += min(RISE_MAX, rise)
         else:
-            self.level -= FALL if utilization > ROOM else FALL_WITH_ROOM
-        self.level = min(MOST, max(0.0, self.level))
-        changed = abs(self.level - self.told) >= TOLD_CHANGE
+            self.level -= (
+                FALL if utilization > SPARE_UTILIZATION else FALL_WITH_SPARE
+            )
+        self.level = min(LEVEL_MAX, max(0.0, self.level))
+        changed = abs(self.level - self.reported) >= REPORTED_CHANGE_MIN
         if changed:
-            self.told = self.level
+            self.reported = self.level
         return changed
 
 
 Pressure = dict[str, float]
-"""Levels by the service that is full."""
+"""Levels by the service that is overloaded."""
 
 
 def mean(parts: Iterable[tuple[int, Pressure]]) -> Pressure:
-    """Returns the mean over targets, each weighed by its slots.
+    """Returns the mean levels over targets, weighted by their slots.
 
     Args:
       parts: Slots and levels of each target.
@@ -129,12 +138,12 @@
 
 
 def coarse(levels: Pressure) -> Pressure:
-    """Returns levels as they are told: rounded down, so that echoes die out."""
-    told = {
-        name: math.floor(level * STEPS) / STEPS
+    """Returns levels as reported: rounded down, so that echoes die out."""
+    reported = {
+        name: math.floor(level * LEVEL_STEPS) / LEVEL_STEPS
         for name, level in levels.items()
     }
-    return {name: level for name, level in told.items() if level >= LEAST}
+    return {name: level for name, level in reported.items() if level >= LEAST}
 
 
 def strongest(parts: Iterable[Pressure]) -> Pressure:
@@ -149,60 +158,68 @@
 
 @dataclasses.dataclass(slots=True)
 class Evidence:
-    """Whether a route's requests fail when a service is full."""
+    """Evidence that a route's requests fail when a service is overloaded.
+
+    Attributes:
+      failed: Requests that failed, decayed with time.
+      ended: Requests that ended, decayed with time.
+      updated_at: When one was recorded last.
+    """
 
     failed: float = PRIOR_FAILED
     ended: float = PRIOR_ENDED
-    at: float = 0.0
-
-    def note(self, *, failed: bool, now: float) -> None:
-        """Takes the end of a request."""
-        fade = 0.5 ** ((now - self.at) / EVIDENCE_HALF_LIFE_MS)
-        self.at = now
-        self.failed = PRIOR_FAILED + (self.failed - PRIOR_FAILED) * fade
-        self.ended = PRIOR_ENDED + (self.ended - PRIOR_ENDED) * fade
+    updated_at: float = 0.0
+
+    def record(self, *, failed: bool, now: float) -> None:
+        """Records the end of a request."""
+        decay = 0.5 ** ((now - self.updated_at) / EVIDENCE_HALF_LIFE_MS)
+        self.updated_at = now
+        self.failed = PRIOR_FAILED + (self.failed - PRIOR_FAILED) * decay
+        self.ended = PRIOR_ENDED + (self.ended - PRIOR_ENDED) * decay
         self.failed += float(failed)
         self.ended += 1.0
 
     @property
     def depends(self) -> bool:
-        """Whether the route's requests seem to need the service.
+        """Whether the route's requests appear to need the service.
 
-        Nothing tells which requests make which calls; that they fail while
-        the service is full does.
+        Which requests make which calls is not known. A route depends on the
+        service if its requests fail while the service is overloaded.
         """
-        return self.failed / self.ended > DEPENDS_SHARE
+        return self.failed / self.ended > DEPENDS_FAILED_SHARE
 
 
 class RankHistogram:
-    """How the demand divides over ranks, lately."""
+    """Recent demand by rank."""
 
     def __init__(self) -> None:
         self.counts: dict[int, float] = {}
-        self.at = 0.0
+        self.updated_at = 0.0
 
-    def note(self, rank: int, now: float) -> None:
+    def record(self, rank: int, now: float) -> None:
         """Counts a request."""
-        fade = 0.5 ** (max(0.0, now - self.at) / HISTOGRAM_HALF_LIFE_MS)
-        if fade < 0.98:
-            self.at = now
+        decay = 0.5 ** (
+            max(0.0, now - self.updated_at) / HISTOGRAM_HALF_LIFE_MS
+        )
+        if decay < 0.98:
+            self.updated_at = now
             for key in self.counts:
-                self.counts[key] *= fade
+                self.counts[key] *= decay
         self.counts[rank] = self.counts.get(rank, 0.0) + 1.0
 
     def shed_share(self, rank: int, level: float) -> float:
-        """Returns which part of a rank goes when so much of all has to go."""
+        """Returns the share of a rank to shed for a share of the total."""
         total = sum(self.counts.values())
-        own = self.counts.get(rank, 0.0)
-        if total <= 0.0 or own <= 0.0:
+        same = self.counts.get(rank, 0.0)
+        if total <= 0.0 or same <= 0.0:
             return 0.0
-        later = sum(n for key, n in self.counts.items() if key > rank)
-        share = (level * total - later * SHED_SHARE_MAX) / own
+        less_urgent = sum(n for key, n in self.counts.items() if key > rank)
+        share = (level * total - less_urgent * SHED_SHARE_MAX) / same
         return min(SHED_SHARE_MAX, max(0.0, share))
 
 
 class Shedder:
-    """Decides at the node where a request begins."""
+    """Decides at the ingress node which root requests to shed."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -218,33 +235,38 @@
         levels: Pressure,
         now: float,
     ) -> str:
-        """Returns the full service for which a request goes; empty if none.
+        """Returns the overloaded service for which to shed a request.
 
         Args:
           route: Route of the request.
           service: Service that it goes to.
-          rank: Its rank, 0 is the most urgent.
-          levels: How full that service and those it calls are.
+          rank: Rank of the request; 0 is the most urgent.
+          levels: Levels of that service and of those that it calls.
           now: Milliseconds of the node's clock.
+
+        Returns:
+          Name of the service; empty if the request is not shed.
         """
-        by = ""
-        for full, level in levels.items():
-            if full != service:
-                known = self.evidence.get((route, full))
-                if known is not None and not known.depends:
+        shed_for = ""
+        for overloaded, level in levels.items():
+            if overloaded != service:
+                evidence = self.evidence.get((route, overloaded))
+                if evidence is not None and not evidence.depends:
                     continue
-            histogram = self.histograms.setdefault(full, RankHistogram())
-            histogram.note(rank, now)
+            histogram = self.histograms.setdefault(overloaded, RankHistogram())
+            histogram.record(rank, now)
             if self.rng.random() < histogram.shed_share(rank, level):
-                by = full
-        return by
+                shed_for = overloaded
+        return shed_for
 
     def note_end(
         self, *, route: str, levels: Pressure, failed: bool, now: float
     ) -> None:
-        """Takes how a request ended that was not shed."""
-        for full, level in levels.items():
-            if level >= PRESSED:
-                key = (route, full)
-                known = self.evidence.setdefault(key, Evidence(at=now))
-                known.note(failed=failed, now=now)
+        """Records how a request ended that was not shed."""
+        for overloaded, level in levels.items():
+            if level >= EVIDENCE_LEVEL_MIN:
+                key = (route, overloaded)
+                evidence = self.evidence.setdefault(
+                    key, Evidence(updated_at=now)
+                )
+                evidence.record(failed=failed, now=now)
--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -1,9 +1,8 @@
-"""Who runs at a target, who waits and who is refused.
+"""Decides which requests run at a target, wait for a slot or are refused.
 
-The guard is the only one that hands requests to its target, so the target's
-slots are a local matter: it never gets more than it runs at once, and what
-waits does so here, in order of importance, where it can still be refused as
-"not run".
+All requests to a target pass its guard, so its slots are managed locally. The
+target never gets more requests than it runs concurrently. The others wait here
+in order of importance, where they can still be refused as "not run".
 """
 
 from __future__ import annotations
@@ -18,36 +17,36 @@
 
 Item = TypeVar("Item")
 
-SLOTS_USED = 0.93
-"""Part of a target's slots that is used at once.
+USED_SLOTS_SHARE = 0.93
+"""Share of a target's slots that is used.
 
-Targets slow down when they are nearly full, and a new connection may hold a
-slot as well.
+Targets slow down when nearly all slots are in use, and a new connection may
+hold a slot as well.
 """
 WAIT_OF_OBJECTIVE = 0.45
-"""Part of the latency objective that may be spent waiting.
+"""Share of the latency objective that may be spent waiting.
 
-The rest is for the work and the way back: an answer that comes after the
-objective is worth less, and its slot would have served another.
+The rest is for the work and the response. A response after the objective has
+less value, and its slot could have served another request.
 """
 WAIT_OF_TIME_LEFT = 0.5
 CALLS_PRIORITY = 0
-"""Priority of a target's own call of which nothing is known.
+"""Priority of a target's own call if the rank of its root is not known.
 
-Those of which the rank of their root is known have lower numbers and go before
-it; all roots have higher ones.
+Calls with a known root rank have lower numbers and are served before it; all
+roots have higher numbers.
 """
 CALL_RANKS = 512
 CALL_WAIT_OF_TIME_LEFT = 0.7
-"""Part of the time left that a target's own call may wait.
+"""Share of the time left that a target's own call may wait.
 
-Refused, it would fail the request above it and waste all that was done for
-that one; so it waits for as long as it can still be answered.
+A refused call fails its parent request and wastes the work done for it, so a
+call waits for as long as it can still be answered.
 """
-WORK_MARGIN = 1.25
-"""Part of the mean work that a root's objective must leave for the work."""
+WORK_FACTOR = 1.25
+"""Multiple of the mean service time that a root's objective must allow for."""
 LATE_WAIT_OF_OBJECTIVE = 0.1
-"""Wait of a root that can no longer be answered within its objective."""
+"""Share of the objective that a root may wait if it can no longer meet it."""
 RETRY_AFTER_MIN_MS = 100.0
 RETRY_AFTER_MAX_MS = 2_000.0
 
@@ -58,21 +57,21 @@
 
 
 def root_rank(priority: int) -> int | None:
-    """Returns the rank of the root of what has a priority, if it is known."""
+    """Returns the rank of the root for a priority, or None if not known."""
     if priority == CALLS_PRIORITY:
         return None
     return priority if priority > CALLS_PRIORITY else priority + CALL_RANKS
 
 
 def kind_of(priority: int) -> occupancy.Kind:
-    """Returns what kind of request has a priority."""
+    """Returns the kind of a request from its priority."""
     if priority <= CALLS_PRIORITY:
         return occupancy.Kind.CALL
     return occupancy.Kind.ROOT
 
 
 class Verdict(enum.Enum):
-    """What happens to a request that arrives."""
+    """Decision on a request that arrives."""
 
     RUN = enum.auto()
     WAIT = enum.auto()
@@ -81,31 +80,31 @@
 
 @dataclasses.dataclass(slots=True)
 class Ticket(Generic[Item]):
-    """A request's place at a target.
+    """State of a request at a target.
 
     Attributes:
       item: The request.
-      priority: Its rank; 0 is the most urgent.
-      give_up_at: When it is refused if it still waits.
+      priority: Its priority; the lowest number is the most urgent.
+      wait_until: When it is refused if it is still waiting.
       started_at: When it got its slot; negative while it waits.
-      gone: Whether it left the queue without a slot.
+      gone: Whether it was refused, or left the queue without a slot.
     """
 
     item: Item
     priority: int
-    give_up_at: float
+    wait_until: float
     started_at: float = -1.0
     gone: bool = False
 
 
 class SlotQueue(Generic[Item]):
-    """The slots of one target and the queue before them.
+    """Slots of one target, and the queue of requests that wait for one.
 
     Attributes:
-      slots: Requests that may run at once.
-      running: Requests that run.
-      waiting: Requests that wait.
-      occupancy: What holds the slots.
+      slots: Requests that may run concurrently.
+      running: Requests that are running.
+      waiting: Requests that are waiting.
+      occupancy: Slot usage by kind of request.
     """
 
     def __init__(self) -> None:
@@ -118,11 +117,11 @@
         self.numbers = itertools.count()
 
     def configure(self, slots: int) -> None:
-        """Takes what the target says it runs at once."""
-        self.slots = max(1, int(slots * SLOTS_USED))
+        """Sets the slots from the number that the target announces."""
+        self.slots = max(1, int(slots * USED_SLOTS_SHARE))
 
     def expected_wait_ms(self, priority: int) -> float:
-        """Returns how long a new request of a priority would wait."""
+        """Returns the expected wait of a new request of a priority, in ms."""
         if self.running < self.slots:
             return 0.0
         ahead = dict.fromkeys(occupancy.Kind, 0)
@@ -131,7 +130,7 @@
                 ahead[kind_of(rank)] += count
         return self.occupancy.wait_ms(kind_of(priority), ahead, self.slots)
 
-    def patience_ms(
+    def wait_limit_ms(
         self,
         priority: int,
         *,
@@ -139,21 +138,21 @@
         age_ms: float,
         left_ms: float,
     ) -> float:
-        """Returns how long a request may wait here.
+        """Returns how long a request may wait for a slot, in ms.
 
-        A root that waits until its answer is late takes a slot from one that
-        could still be answered in time, so its work is taken off its
-        objective first, and so is what it has waited elsewhere.
+        A root whose response is late takes a slot from one that could still be
+        answered in time. The expected work of a root, and the time that it has
+        already waited elsewhere, are therefore subtracted from its objective.
 
         Args:
-          priority: Its priority.
-          objective_ms: Its latency objective.
-          age_ms: How long its caller has waited already.
-          left_ms: How long its caller waits from now on.
+          priority: Priority of the request.
+          objective_ms: Latency objective of the request.
+          age_ms: How long its caller has waited so far.
+          left_ms: How long its caller continues to wait.
         """
         if priority <= CALLS_PRIORITY:
             return left_ms * CALL_WAIT_OF_TIME_LEFT
-        work_ms = self.occupancy.service_ms[occupancy.Kind.ROOT] * WORK_MARGIN
+        work_ms = self.occupancy.service_ms[occupancy.Kind.ROOT] * WORK_FACTOR
         in_time = min(
             objective_ms * WAIT_OF_OBJECTIVE, objective_ms - age_ms - work_ms
         )
@@ -170,27 +169,30 @@
         expires_at: float,
         age_ms: float = 0.0,
     ) -> tuple[Verdict, Ticket[Item]]:
-        """Decides on a request that arrives.
+        """Decides whether a request runs, waits or is refused.
 
         Args:
           item: The request.
-          priority: Its rank.
+          priority: Priority of the request.
           now: Milliseconds of the node's clock.
-          objective_ms: Its latency objective.
-          expires_at: When nobody waits for it any more.
-          age_ms: How long its caller has waited already.
+          objective_ms: Latency objective of the request.
+          expires_at: When its caller stops waiting.
+          age_ms: How long its caller has waited so far.
+
+        Returns:
+          The decision, and the ticket of the request.
         """
-        patience = self.patience_ms(
+        wait_limit = self.wait_limit_ms(
             priority,
             objective_ms=objective_ms,
             age_ms=age_ms,
             left_ms=expires_at - now,
         )
-        ticket = Ticket(item, priority, now + patience)
+        ticket = Ticket(item, priority, now + wait_limit)
         if self.running < self.slots and self.waiting == 0:
-            self.take_slot(ticket, now)
+            self.assign_slot(ticket, now)
             return Verdict.RUN, ticket
-        if self.expected_wait_ms(priority) > patience:
+        if self.expected_wait_ms(priority) > wait_limit:
             ticket.gone = True
             return Verdict.REFUSE, ticket
         heapq.heappush(self.heap, (priority, next(self.numbers), ticket))
@@ -199,18 +201,18 @@
         return Verdict.WAIT, ticket
 
     def withdraw(self, ticket: Ticket[Item]) -> None:
-        """Takes a request out of the queue."""
+        """Removes a request from the queue, unless it has left it already."""
         if not ticket.gone and ticket.started_at < 0:
             ticket.gone = True
-            self.leave(ticket)
+            self.count_out(ticket)
 
-    def leave(self, ticket: Ticket[Item]) -> None:
-        """Counts a request out of the queue."""
+    def count_out(self, ticket: Ticket[Item]) -> None:
+        """Updates the counts for a request that leaves the queue."""
         self.waiting -= 1
         self.ranks[ticket.priority] -= 1
 
-    def take_slot(self, ticket: Ticket[Item], now: float) -> None:
-        """Gives a slot to a request."""
+    def assign_slot(self, ticket: Ticket[Item], now: float) -> None:
+        """Assigns a slot to a request."""
         self.running += 1
         ticket.started_at = now
         self.occupancy.start(kind_of(ticket.priority), now, self.slots)
@@ -226,29 +228,33 @@
         )
 
     def forfeit(self, ticket: Ticket[Item], now: float) -> None:
-        """Frees the slot of a request that did not start after all."""
+        """Frees the slot of a request that did not start."""
         self.running -= 1
         self.occupancy.end(
             kind_of(ticket.priority), now, self.slots, held_ms=None
         )
 
     def next(self, now: float) -> Ticket[Item] | None:
-        """Gives a free slot to the most urgent request that waits."""
+        """Assigns a free slot to the most urgent waiting request.
+
+        Returns:
+          Its ticket; None if no slot is free or no request waits.
+        """
         while self.heap and self.running < self.slots:
             ticket = heapq.heappop(self.heap)[2]
             if ticket.gone:
                 continue
-            self.leave(ticket)
-            self.take_slot(ticket, now)
+            self.count_out(ticket)
+            self.assign_slot(ticket, now)
             return ticket
         return None
 
     def overdue(self, now: float) -> list[Ticket[Item]]:
-        """Takes out the requests that have waited for too long."""
+        """Removes and returns the requests that have waited too long."""
         late = [
             entry[2]
             for entry in self.heap
-            if not entry[2].gone and entry[2].give_up_at <= now
+            if not entry[2].gone and entry[2].wait_until <= now
         ]
         for ticket in late:
             self.withdraw(ticket)
@@ -258,7 +264,7 @@
         return late
 
     def retry_after_ms(self) -> float:
-        """Returns when coming back may help: when the queue has drained."""
-        mean = self.occupancy.mean_ms()
-        drained = (self.waiting + 1) * mean / max(1, self.slots)
-        return min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, drained))
+        """Returns the delay until the queue should have drained, in ms."""
+        mean_ms = self.occupancy.mean_ms()
+        drained_ms = (self.waiting + 1) * mean_ms / max(1, self.slots)
+        return min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, drained_ms))
--- a/tests/admission/test_slots.py
+++ b/tests/admission/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots and queue of a target."""
+"""Tests of the slots and the queue of a target."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def queue(count: int = 10) -> slots.SlotQueue[str]:
-    made: slots.SlotQueue[str] = slots.SlotQueue()
-    made.configure(count)
-    return made
+    slot_queue: slots.SlotQueue[str] = slots.SlotQueue()
+    slot_queue.configure(count)
+    return slot_queue
 
 
 def offer(
-    made: slots.SlotQueue[str],
+    slot_queue: slots.SlotQueue[str],
     item: str,
     *,
     priority: int = 5,
     now: float = 0.0,
     objective_ms: float = 1_000.0,
 ) -> tuple[slots.Verdict, slots.Ticket[str]]:
-    return made.offer(
+    return slot_queue.offer(
         item,
         priority=priority,
         now=now,
@@ -31,63 +31,65 @@
     )
 
 
-def test_a_target_never_gets_more_than_its_slots() -> None:
-    made = queue(10)
-    verdicts = [offer(made, str(number))[0] for number in range(20)]
+def test_a_target_never_runs_more_than_its_slots() -> None:
+    slot_queue = queue(10)
+    verdicts = [offer(slot_queue, str(number))[0] for number in range(20)]
     assert verdicts.count(slots.Verdict.RUN) == 9
 
 
 def test_the_most_urgent_is_next() -> None:
-    made = queue(1)
-    _, first = offer(made, "running")
-    offer(made, "later", priority=7)
-    offer(made, "sooner", priority=3)
-    made.release(first, 10.0)
-    ticket = made.next(10.0)
+    slot_queue = queue(1)
+    _, first = offer(slot_queue, "running")
+    offer(slot_queue, "later", priority=7)
+    offer(slot_queue, "sooner", priority=3)
+    slot_queue.release(first, 10.0)
+    ticket = slot_queue.next(10.0)
     assert ticket is not None
     assert ticket.item == "sooner"
 
 
-def test_what_would_wait_too_long_is_refused_at_once() -> None:
-    made = queue(1)
-    made.occupancy.service_ms = dict.fromkeys(occupancy.Kind, 300.0)
-    offer(made, "running")
-    assert offer(made, "first")[0] is slots.Verdict.WAIT
-    assert offer(made, "second")[0] is slots.Verdict.REFUSE
+def test_a_request_that_would_wait_too_long_is_refused_at_once() -> None:
+    slot_queue = queue(1)
+    slot_queue.occupancy.service_ms = dict.fromkeys(occupancy.Kind, 300.0)
+    offer(slot_queue, "running")
+    assert offer(slot_queue, "first")[0] is slots.Verdict.WAIT
+    assert offer(slot_queue, "second")[0] is slots.Verdict.REFUSE
 
 
-def test_what_has_waited_too_long_is_given_up() -> None:
-    made = queue(1)
-    offer(made, "running")
-    offer(made, "waiting")
-    assert not made.overdue(400.0)
-    assert [ticket.item for ticket in made.overdue(460.0)] == ["waiting"]
-    assert made.waiting == 0
+def test_a_request_that_has_waited_too_long_is_removed() -> None:
+    slot_queue = queue(1)
+    offer(slot_queue, "running")
+    offer(slot_queue, "waiting")
+    assert not slot_queue.overdue(400.0)
+    assert [ticket.item for ticket in slot_queue.overdue(460.0)] == ["waiting"]
+    assert slot_queue.waiting == 0
 
 
 def test_a_withdrawn_request_gets_no_slot() -> None:
-    made = queue(1)
-    _, first = offer(made, "running")
-    _, second = offer(made, "gone")
-    made.withdraw(second)
-    made.withdraw(second)
-    made.release(first, 5.0)
-    assert made.next(5.0) is None
-    assert (made.running, made.waiting) == (0, 0)
+    slot_queue = queue(1)
+    _, first = offer(slot_queue, "running")
+    _, second = offer(slot_queue, "gone")
+    slot_queue.withdraw(second)
+    slot_queue.withdraw(second)
+    slot_queue.release(first, 5.0)
+    assert slot_queue.next(5.0) is None
+    assert (slot_queue.running, slot_queue.waiting) == (0, 0)
 
 
-def play(priorities: dict[str, int]) -> tuple[dict[str, int], dict[str, int]]:
-    """Plays ten seconds at a target that has half the room it needs.
+def simulate(
+    priorities: dict[str, int],
+) -> tuple[dict[str, int], dict[str, int]]:
+    """Simulates 10 s at a target with half the capacity that it needs.
 
-    Ten slots of 50 ms bear 180 requests a second; roots ask for 200 and
-    targets' own calls for 160.
+    Ten slots of 50 ms serve 180 requests a second; the demand is 200 roots and
+    160 calls of targets a second.
 
     Returns:
-      Requests by kind, and those that got a slot.
+      Requests by kind, and how many of them got a slot.
     """
     rng = random.Random(9)
-    made = queue(10)
-    asked = {"call": 0, "root": 0}
+    slot_queue = queue(10)
+    offered = {"call": 0, "root": 0}
     served = {"call": 0, "root": 0}
     ends: list[tuple[float, int, slots.Ticket[str]]] = []
     number = 0
@@ -101,25 +103,25 @@
     for step in range(10_000):
         now = float(step)
         while ends and ends[0][0] <= now:
-            made.release(heapq.heappop(ends)[2], now)
-            following = made.next(now)
+            slot_queue.release(heapq.heappop(ends)[2], now)
+            following = slot_queue.next(now)
             if following is not None:
                 start(following, now)
-        made.overdue(now)
+        slot_queue.overdue(now)
         for kind, per_second in (("call", 160), ("root", 200)):
             if rng.random() < per_second / 1_000:
-                asked[kind] += 1
+                offered[kind] += 1
                 verdict, ticket = offer(
-                    made, kind, priority=priorities[kind], now=now
+                    slot_queue, kind, priority=priorities[kind], now=now
                 )
                 if verdict is slots.Verdict.RUN:
                     start(ticket, now)
-    return asked, served
+    return offered, served
 
 
-def test_calls_of_targets_go_before_roots_when_there_is_room_for_half() -> None:
-    """A chain of calls fails with any one of them."""
-    asked, served = play({"call": 0, "root": 5})
-    assert served["call"] >= 0.98 * asked["call"]
-    asked, served = play({"call": 5, "root": 5})
-    assert served["call"] < 0.7 * asked["call"]
+def test_calls_of_targets_are_served_before_roots_under_overload() -> None:
+    """Guards against chains that fail because one of their calls is refused."""
+    offered, served = simulate({"call": 0, "root": 5})
+    assert served["call"] >= 0.98 * offered["call"]
+    offered, served = simulate({"call": 5, "root": 5})
+    assert served["call"] < 0.7 * offered["call"]
