--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -239,7 +239,7 @@
 
         Args:
           route: Route of the request.
-          service: Service that it goes to.
+          service: Service that the request is sent to.
           rank: Rank of the request; 0 is the most urgent.
           levels: Levels of that service and of those that it calls.
           now: Milliseconds of the node's clock.
--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -31,14 +31,14 @@
 """
 WAIT_OF_TIME_LEFT = 0.5
 CALLS_PRIORITY = 0
-"""Priority of a target's own call if the rank of its root is not known.
+"""Priority of a call made by a target if the rank of its root is unknown.
 
 Calls with a known root rank have lower numbers and are served before it; all
 roots have higher numbers.
 """
 CALL_RANKS = 512
 CALL_WAIT_OF_TIME_LEFT = 0.7
-"""Share of the time left that a target's own call may wait.
+"""Share of the time left that a call made by a target may wait.
 
 A refused call fails its parent request and wastes the work done for it, so a
 call waits for as long as it can still be answered.
@@ -52,7 +52,7 @@
 
 
 def call_priority(rank: int | None) -> int:
-    """Returns the priority of a target's own call by the rank of its root."""
+    """Returns the priority of a target's call by the rank of its root."""
     return CALLS_PRIORITY if rank is None else rank - CALL_RANKS
 
 
--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -154,7 +154,7 @@
         if bucket is None:
             return 0.0
         self.refill(bucket, now)
-        left = self.left(bucket, now)
+        left = self.tokens_left(bucket, now)
         if left < 1.0:
             bucket.refused_at = now
             missing = 1.0 - left
@@ -165,7 +165,7 @@
         bucket.unreported.record_local(now)
         return 0.0
 
-    def left(self, bucket: Bucket, now: float) -> float:
+    def tokens_left(self, bucket: Bucket, now: float) -> float:
         """Returns the tokens left after the others' unreported admissions."""
         return bucket.tokens - bucket.unreported.count(
             now,
--- a/src/currantcart/workspace/share.py
+++ b/src/currantcart/workspace/share.py
@@ -92,8 +92,8 @@
         if now <= self.updated_ms:
             return
         generated = (now - self.updated_ms) * self.rate / clock.MS_PER_SECOND
-        room = max(0.0, self.burst - self.lent.total(now))
-        self.tokens = min(room, self.tokens + generated)
+        capacity = max(0.0, self.burst - self.lent.total(now))
+        self.tokens = min(capacity, self.tokens + generated)
         self.updated_ms = now
 
     def resize(self, *, rate: float, burst: float, now: float) -> None:
@@ -101,8 +101,8 @@
         self.refill(now)
         self.rate = rate
         self.burst = burst
-        room = max(0.0, burst - self.lent.total(now))
-        self.tokens = min(self.tokens, room)
+        capacity = max(0.0, burst - self.lent.total(now))
+        self.tokens = min(self.tokens, capacity)
 
     def count_demand(self, now: float) -> None:
         """Counts a call that needs a token."""
