--- a/src/currantcart/proxy/streams/__init__.py
+++ b/src/currantcart/proxy/streams/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes tell each other, over streams and through the store."""
+"""Communication between nodes: peer streams, and entries in the store."""
--- a/src/currantcart/proxy/streams/compression.py
+++ b/src/currantcart/proxy/streams/compression.py
@@ -1,7 +1,7 @@
 """Compression of a stream between two failure domains.
 
-Each direction of a stream is one compressed sequence, so that header lines and
-statuses that were sent before are sent as references.
+Each direction of a stream is one DEFLATE sequence, so that header lines and
+statuses that were sent before are encoded as back-references.
 """
 
 from __future__ import annotations
@@ -13,11 +13,14 @@
 LEVEL = 1
 WINDOW_BITS = -12
 MEMORY_LEVEL = 5
-"""Bounds the memory of a stream; larger windows gain little."""
+"""With `WINDOW_BITS`, bounds the memory of a stream.
+
+Larger windows gain little.
+"""
 
 
 class Compressor:
-    """Compresses what one side sends."""
+    """Compresses the outgoing direction of a stream."""
 
     def __init__(self) -> None:
         self.state = zlib.compressobj(
@@ -25,35 +28,36 @@
         )
 
     def pack(self, data: bytes) -> bytes:
-        """Returns the bytes from which the other side gets these at once."""
+        """Compresses data and flushes, so that the peer can read all of it."""
         return self.state.compress(data) + self.state.flush(zlib.Z_SYNC_FLUSH)
 
 
 class Decompressor:
-    """Restores what the other side has packed."""
+    """Decompresses the incoming direction of a stream."""
 
     def __init__(self) -> None:
         self.state = zlib.decompressobj(WINDOW_BITS)
 
     def unpack(self, data: bytes, *, bytes_max: int) -> bytes:
-        """Returns the bytes that were packed.
+        """Decompresses the next part of the stream.
 
         Args:
-          data: What came.
-          bytes_max: Most bytes that it may hold; a few hostile bytes could
-            otherwise fill the node's memory.
+          data: Compressed bytes as received.
+          bytes_max: Limit of the decompressed size; a few hostile bytes could
+            otherwise exhaust the node's memory.
 
         Raises:
-          errors.StreamError: It can't be read, or holds too much.
+          errors.StreamError: The data is corrupt, or exceeds `bytes_max`.
         """
         try:
-            found = self.state.decompress(data, bytes_max)
+            decompressed = self.state.decompress(data, bytes_max)
         except zlib.error as error:
             raise errors.StreamError(
                 errors.Code.FRAME_INVALID, str(error)
             ) from error
         if self.state.unconsumed_tail:
             raise errors.StreamError(
-                errors.Code.FRAME_TOO_LARGE, f"more than {bytes_max} bytes"
+                errors.Code.FRAME_TOO_LARGE,
+                f"decompressed data exceeds {bytes_max} bytes",
             )
-        return found
+        return decompressed
--- a/src/currantcart/proxy/streams/frames.py
+++ b/src/currantcart/proxy/streams/frames.py
@@ -1,8 +1,8 @@
 """Messages between two nodes, and their framing on a stream.
 
-A frame is four bytes of length and one msgpack array whose first element
-tells its kind. Frames that are written in one turn of the loop leave in one
-system call.
+A frame is a four-byte length and one msgpack array whose first element is the
+message type. Frames that are written in one iteration of the event loop are
+sent in one system call.
 """
 
 from __future__ import annotations
@@ -19,21 +19,22 @@
 PACKED_BYTES_MAX = 32 * 1024
 """Most bytes of frames that are compressed together.
 
-More than that in one turn are long bodies, which take time and gain little.
+More than that in one loop iteration means long bodies, which take long to
+compress and gain little.
 """
 CHUNK_BYTES = 64 * 1024
 LENGTH = struct.Struct(">I")
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """A node as it tells of itself.
+    """A node's description of itself.
 
     Attributes:
       instance: Name of its instance.
-      process: Id of the process; new with each start.
-      address: Where it takes streams of peers, as IP:PORT.
-      service: Service of the target beside it.
-      failure_domain: Where it runs.
+      process: Id of its process; a new one with each start.
+      address: Where it accepts streams from peers, as IP:PORT.
+      service: Service of its target.
+      failure_domain: Failure domain that it runs in.
     """
 
     instance: str
@@ -44,18 +45,19 @@
 
 
 class TargetState(msgspec.Struct, array_like=True):
-    """The target beside a node.
+    """State of a node's target.
 
     Attributes:
       target_id: Its id; empty while none is known.
-      ready: Whether it takes requests.
-      leaving: Whether it said that it leaves.
-      born: Start of its incarnation, in milliseconds since 1970.
-      limit: Requests that run at once.
-      busy: Requests that run or wait.
-      cold_ms: How much longer it is slow after its start.
-      pressure: How full it and the services that it calls are.
-      work_ms: How long it works on a request; 0 while that isn't known.
+      ready: Whether it accepts requests.
+      limit: Concurrency limit.
+      busy: Requests that are running or queued.
+      cold_ms: Remaining time for which it is slow after its start.
+      pressure: Pressure on it and on the services that it calls, 0 to 1 each.
+      leaving: Whether it has reported that it is leaving.
+      born: Start time of its process (incarnation), in milliseconds since
+        1970.
+      work_ms: Processing time of a request; 0 while unknown.
     """
 
     target_id: str = ""
@@ -70,15 +72,15 @@
 
 
 class Hello(msgspec.Struct, array_like=True, tag=1):
-    """First frame of either side.
+    """First frame in each direction; introduces the sender.
 
     Attributes:
-      protocol: Version of these messages.
+      protocol: Version of the protocol.
       member: The sender.
       now_ms: Sender's clock.
-      unpacks: Whether the sender reads `Packed`.
-      age_ms: Time since the sender's start; negative when it isn't told.
-      fetches: Whether the sender asks for a configuration that it lacks, and
+      unpacks: Whether the sender can read `Packed`.
+      age_ms: Time since the sender's start; negative when not given.
+      fetches: Whether the sender fetches a configuration that it lacks, and
         answers `Fetch`.
     """
 
@@ -91,18 +93,19 @@
 
 
 class Status(msgspec.Struct, array_like=True, tag=2):
-    """What a node tells a peer again and again.
+    """Periodic report of a node's state to a peer.
 
     Attributes:
       now_ms: Sender's clock.
-      echo_ms: `now_ms` of the last status that the sender got.
-      held_ms: How long the sender has had that status.
+      echo_ms: `now_ms` of the last status or `Hello` that the sender received.
+      held_ms: Time between the receipt of that frame and this status.
       version: Configuration version that the sender serves.
       as_of_ms: When it was the newest, on the sender's clock.
-      target: The sender's target.
-      counts: Requests admitted since the sender's start, by workspace.
-      left: Id and start of the receiver's target, if the sender was told
-        that it leaves.
+      target: State of the sender's target.
+      counts: Requests admitted since the sender's start, by workspace; only
+        those that have changed.
+      left: Id and start time of the receiver's target, if it was reported to
+        the sender as leaving.
     """
 
     now_ms: float
@@ -116,7 +119,13 @@
 
 
 class Config(msgspec.Struct, array_like=True, tag=3):
-    """A configuration version, as the store holds it."""
+    """A configuration version.
+
+    Attributes:
+      version: Its number.
+      as_of_ms: When it was the newest, on the sender's clock.
+      document: The configuration as the store holds it.
+    """
 
     version: int
     as_of_ms: float
@@ -124,23 +133,23 @@
 
 
 class Open(msgspec.Struct, array_like=True, tag=4):
-    """A request for the target beside the receiver.
+    """A request for the receiver's target.
 
     Attributes:
       call: Number of the call on this stream.
-      sent_ms: Sender's clock as it was sent.
-      left_ms: Time that was left then.
+      sent_ms: Sender's clock when it was sent.
+      left_ms: Time remaining until its deadline at that moment.
       request_id: Id of the request.
-      target_id: The target that was chosen; no other may run it.
-      priority: Rank, 0 is the most urgent.
+      target_id: The selected target; no other one may run the request.
+      priority: Priority; 0 is the highest.
       objective_ms: Latency objective.
       method: HTTP method.
       path: Path and query as received.
       head: End-to-end header lines, each ending with CR LF.
       body: First part of the body.
       more: Bytes of the body that follow in `Data`.
-      repeated: Whether this run, or one above it, is a further one.
-      age_ms: How long its caller had waited as it was sent.
+      repeated: Whether it is a retry, or a call made by a retry.
+      age_ms: How long its caller had waited when it was sent.
     """
 
     call: int
@@ -160,14 +169,24 @@
 
 
 class Data(msgspec.Struct, array_like=True, tag=5):
-    """A further part of a body."""
+    """A subsequent part of a body."""
 
     call: int
     chunk: bytes
 
 
 class Answer(msgspec.Struct, array_like=True, tag=6):
-    """A target's whole answer, or the first part of a long one."""
+    """A target's response, or the first part of a long one.
+
+    Attributes:
+      call: Number of the call.
+      status: HTTP status.
+      head: Header lines.
+      body: First part of the body.
+      more: Bytes of the body that follow in `Data`.
+      busy: Requests running or queued at the target.
+      limit: Concurrency limit of the target.
+    """
 
     call: int
     status: int
@@ -179,15 +198,15 @@
 
 
 class Refuse(msgspec.Struct, array_like=True, tag=7):
-    """The request did not run and never will.
+    """Refusal of a request: it did not run and will not.
 
     Attributes:
       call: Number of the call.
-      code: Why.
+      code: Error code that gives the reason.
       at_target: Whether the target itself refused it.
-      retry_after_ms: When coming back may help.
-      busy: Requests at the target.
-      limit: Requests that it runs at once.
+      retry_after_ms: Time after which a retry may succeed.
+      busy: Requests running or queued at the target.
+      limit: Concurrency limit of the target.
     """
 
     call: int
@@ -199,7 +218,14 @@
 
 
 class Lost(msgspec.Struct, array_like=True, tag=8):
-    """The request may have run, and there is no answer."""
+    """Loss of a response: the request may have run.
+
+    Attributes:
+      call: Number of the call.
+      code: Error code that gives the reason.
+      busy: Requests running or queued at the target.
+      limit: Concurrency limit of the target.
+    """
 
     call: int
     code: str
@@ -208,29 +234,34 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag=9):
-    """Nobody waits for the answer any more."""
+    """Cancels a call: its response is no longer needed."""
 
     call: int
 
 
 class Counts(msgspec.Struct, array_like=True, tag=10):
-    """Requests admitted since the sender's start, of expedited workspaces."""
+    """Admission counts that are sent between two statuses.
+
+    Attributes:
+      counts: Requests admitted since the sender's start, by workspace; only
+        expedited workspaces.
+    """
 
     counts: dict[str, int]
 
 
 class Packed(msgspec.Struct, array_like=True, tag=11):
-    """Whole frames in the sender's compressed sequence."""
+    """Complete frames, compressed as the next part of the sender's sequence."""
 
     data: bytes
 
 
 class Leave(msgspec.Struct, array_like=True, tag=12):
-    """The sender's process ends: it admits no request any more."""
+    """Leave message: the sender's process ends and admits no more requests."""
 
 
 class Fetch(msgspec.Struct, array_like=True, tag=13):
-    """Asks for the receiver's configuration."""
+    """Requests the receiver's configuration."""
 
 
 Frame = (
@@ -254,24 +285,24 @@
 
 
 def invalid(detail: str) -> errors.StreamError:
-    """Returns the error for bytes that are no frame."""
+    """Returns the error for bytes that are not a valid frame."""
     return errors.StreamError(errors.Code.FRAME_INVALID, detail)
 
 
-def encoded(frame: Frame) -> bytes:
-    """Returns one frame as it goes over the wire."""
+def encode_frame(frame: Frame) -> bytes:
+    """Encodes one frame with its length."""
     writer = FrameWriter()
     writer.add(frame)
     return writer.take()
 
 
 class FrameWriter:
-    """Gathers the frames of one turn of the loop.
+    """Buffers the frames of one iteration of the event loop.
 
     Attributes:
-      buffer: Frames that were not written yet.
-      compressor: Compresses them; None while the other side can't read that, or
-        nothing is gained by it.
+      buffer: Encoded frames that were not sent yet.
+      compressor: Compresses them; None while the peer can't read compressed
+        frames, or is in the same failure domain.
     """
 
     def __init__(self) -> None:
@@ -279,32 +310,32 @@
         self.compressor: compression.Compressor | None = None
 
     def add(self, frame: Frame) -> None:
-        """Adds a frame."""
+        """Encodes a frame into the buffer."""
         start = len(self.buffer)
         self.buffer += b"\0\0\0\0"
         ENCODER.encode_into(frame, self.buffer, -1)
         LENGTH.pack_into(self.buffer, start, len(self.buffer) - start - 4)
 
     def take(self) -> bytes:
-        """Returns the gathered frames and starts anew."""
-        gathered = bytes(self.buffer)
+        """Returns the buffered frames and clears the buffer."""
+        buffered = bytes(self.buffer)
         self.buffer.clear()
-        return gathered
+        return buffered
 
     def take_packed(self) -> bytes:
-        """Returns the gathered frames, compressed where that was agreed."""
-        gathered = self.take()
-        if self.compressor is None or len(gathered) > PACKED_BYTES_MAX:
-            return gathered
-        return encoded(Packed(self.compressor.pack(gathered)))
+        """Returns the buffered frames, compressed if that was negotiated."""
+        buffered = self.take()
+        if self.compressor is None or len(buffered) > PACKED_BYTES_MAX:
+            return buffered
+        return encode_frame(Packed(self.compressor.pack(buffered)))
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames.
+    """Splits a stream of bytes into frames.
 
     Attributes:
-      rest: Bytes of a frame that isn't whole yet.
-      decompressor: Restores what was compressed; None before the first.
+      rest: Bytes of an incomplete frame.
+      decompressor: Decompresses `Packed` frames; None before the first one.
     """
 
     def __init__(self) -> None:
@@ -312,19 +343,19 @@
         self.decompressor: compression.Decompressor | None = None
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yields the frames that are complete.
+        """Yields the frames that are complete, decompressed where needed.
 
         Raises:
-          errors.StreamError: The bytes are no frames.
+          errors.StreamError: The bytes are not valid frames.
         """
-        for frame in self.cut(data):
+        for frame in self.split(data):
             if isinstance(frame, Packed):
                 yield from self.unpack(frame)
             else:
                 yield frame
 
-    def cut(self, data: bytes) -> Iterator[Frame]:
-        """Yields the frames as they were sent, and keeps the rest."""
+    def split(self, data: bytes) -> Iterator[Frame]:
+        """Yields the complete frames as sent, and buffers the remainder."""
         if self.rest:
             data = self.rest + data
         start, size = 0, len(data)
@@ -332,35 +363,41 @@
             length = LENGTH.unpack_from(data, start)[0]
             if length > FRAME_BYTES_MAX:
                 raise errors.StreamError(
-                    errors.Code.FRAME_TOO_LARGE, f"a frame of {length} bytes"
+                    errors.Code.FRAME_TOO_LARGE,
+                    f"frame of {length} bytes exceeds the limit",
                 )
             end = start + LENGTH.size + length
             if end > size:
                 break
-            frame = decoded(memoryview(data)[start + LENGTH.size : end])
+            frame = decode_frame(memoryview(data)[start + LENGTH.size : end])
             start = end
             yield frame
         self.rest = data[start:] if start else data
 
     def unpack(self, packed: Packed) -> Iterator[Frame]:
-        """Yields the frames of a compressed part; they come whole."""
+        """Yields the frames of a compressed part, which must be complete.
+
+        Raises:
+          errors.StreamError: The part is corrupt or too large, is nested, or
+            ends within a frame.
+        """
         if self.decompressor is None:
             self.decompressor = compression.Decompressor()
         inner = FrameReader()
         data = self.decompressor.unpack(packed.data, bytes_max=PACKED_BYTES_MAX)
-        for frame in inner.cut(data):
+        for frame in inner.split(data):
             if isinstance(frame, Packed):
-                raise invalid("a packed frame within another")
+                raise invalid("compressed frame nested in another")
             yield frame
         if inner.rest:
-            raise invalid("a packed frame that ends early")
+            raise invalid("compressed part ends within a frame")
 
 
-def decoded(data: memoryview) -> Frame:
-    """Reads one frame without its length.
+def decode_frame(data: memoryview) -> Frame:
+    """Decodes one frame without its length.
 
     Raises:
-      errors.StreamError: It is none.
+      errors.StreamError: The bytes are not a valid frame.
     """
     try:
         return DECODER.decode(data)
@@ -369,11 +406,11 @@
 
 
 def first_chunk(body: bytes) -> tuple[bytes, int]:
-    """Returns the part of a body that opens it, and how many bytes follow."""
+    """Returns the first chunk of a body, and how many bytes follow it."""
     return body[:CHUNK_BYTES], max(0, len(body) - CHUNK_BYTES)
 
 
 def send_rest(call: int, body: bytes, send: Callable[[Frame], None]) -> None:
-    """Sends what follows the first chunk of a body."""
+    """Sends the chunks of a body after the first one as `Data` frames."""
     for start in range(CHUNK_BYTES, len(body), CHUNK_BYTES):
         send(Data(call, body[start : start + CHUNK_BYTES]))
--- a/tests/proxy/streams/__init__.py
+++ b/tests/proxy/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what nodes tell each other."""
+"""Tests of the communication between nodes."""
--- a/tests/proxy/streams/test_frames.py
+++ b/tests/proxy/streams/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames on a stream between nodes, plain and compressed."""
+"""Frames on a stream between nodes, uncompressed and compressed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from currantcart.proxy.streams import compression, frames, link
 
 FAR_STATUS_BYTES = 10_240 / 195
-"""What a status to each of 195 nodes may take, at one a second and 10 KB."""
+"""Size limit of a status sent to 195 nodes at one per second and 10 KB/s."""
 
 
 def opening(number: int, *, body: bytes = b"") -> frames.Open:
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("packed", [False, True])
 @pytest.mark.parametrize("piece", [1, 7, 100_000])
-def test_frames_arrive_whole_however_the_bytes_are_cut(
+def test_frames_are_complete_however_the_bytes_are_split(
     packed: bool, piece: int
 ) -> None:
     made, reader = writer(packed=packed), frames.FrameReader()
@@ -62,7 +62,7 @@
     assert got == sent
 
 
-def test_a_long_body_goes_uncompressed_between_packed_frames() -> None:
+def test_a_long_body_is_sent_uncompressed_between_packed_frames() -> None:
     made, reader = writer(packed=True), frames.FrameReader()
     body = random.Random(1).randbytes(frames.PACKED_BYTES_MAX + 1)
     sent = [opening(1), opening(2, body=body), opening(3)]
@@ -73,8 +73,8 @@
     assert got == sent
 
 
-def test_what_nodes_tell_each_other_takes_half_the_bytes_when_packed() -> None:
-    """Bytes that leave a failure domain are paid for."""
+def test_packing_halves_the_bytes_that_nodes_send_each_other() -> None:
+    """Traffic between failure domains is billed by the byte."""
     sizes = []
     for packed in (False, True):
         made, size = writer(packed=packed), 0
@@ -86,26 +86,28 @@
 
 
 def packed(data: bytes) -> bytes:
-    return frames.encoded(frames.Packed(compression.Compressor().pack(data)))
+    return frames.encode_frame(
+        frames.Packed(compression.Compressor().pack(data))
+    )
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        frames.encoded(frames.Packed(b"\xff\xff no deflate")),
+        frames.encode_frame(frames.Packed(b"\xff\xff no deflate")),
         packed(b"\0\0\0\x01"),
-        packed(frames.encoded(frames.Packed(b""))),
+        packed(frames.encode_frame(frames.Packed(b""))),
         packed(b"\0" * (frames.PACKED_BYTES_MAX + 1)),
         packed(b"\0\0\0\x02\xc1\xc1"),
     ],
     ids=["garbage", "cut", "nested", "bomb", "no frame"],
 )
-def test_what_cannot_be_unpacked_ends_the_stream_only(data: bytes) -> None:
+def test_what_cannot_be_unpacked_raises_a_stream_error(data: bytes) -> None:
     with pytest.raises(errors.StreamError):
         list(frames.FrameReader().feed(data))
 
 
-def test_a_peer_that_does_not_say_so_gets_nothing_packed() -> None:
+def test_a_peer_that_does_not_announce_it_is_sent_nothing_packed() -> None:
     member = frames.Member("a", "p", "10.0.0.1:1", "grades", "far")
     before = frames.ENCODER.encode([1, 1, list(member.__reduce__()[1]), 5.0])
     hello = frames.DECODER.decode(before)
@@ -114,10 +116,10 @@
 
 
 @pytest.mark.parametrize("one_way", [0.0, 0.3, 0.99, 1.4])
-def test_a_moment_of_a_peers_clock_never_reads_later_than_it_was(
+def test_a_time_on_a_peers_clock_is_never_converted_to_a_later_one(
     one_way: float,
 ) -> None:
-    """A frame that was held up looks fresh if the peer's clock is misread."""
+    """A delayed frame would appear newer if its transit time were ignored."""
     rng = random.Random(3)
     for _ in range(2_000):
         clock = link.PeerClock()
@@ -136,8 +138,8 @@
         assert clock.to_own(answered + ahead) > answered - 2 * one_way - 4
 
 
-def test_what_a_status_tells_has_no_fractions_that_do_not_compress() -> None:
-    """Four clocks to a tenth of a microsecond are most of a status's bytes."""
+def test_a_status_has_no_fractions_that_do_not_compress() -> None:
+    """Four times to a tenth of a microsecond are most of a status's bytes."""
     packer, rng = writer(packed=True), random.Random(1)
     spent, now = 0, 1e6
     for _ in range(100):
@@ -160,16 +162,16 @@
     assert spent / 100 <= FAR_STATUS_BYTES
 
 
-def test_a_level_that_is_passed_on_dies_out() -> None:
-    """Rounded up, an echo between two services would never end."""
+def test_a_forwarded_level_decays_to_zero() -> None:
+    """Rounded up, a level that circulates between services would persist."""
     level = 1.0
     for _ in range(60):
         level = pressure.coarse({"s": 0.9 * level}).get("s", 0.0)
     assert level == 0.0
 
 
-class HelloBefore(msgspec.Struct, array_like=True, tag=1):
-    """The introduction as the release before knows it."""
+class PreviousHello(msgspec.Struct, array_like=True, tag=1):
+    """The introduction as the previous release defines it."""
 
     protocol: int
     member: frames.Member
@@ -178,10 +180,10 @@
     age_ms: float = -1.0
 
 
-def test_the_release_before_reads_an_introduction_with_more_in_it() -> None:
+def test_the_previous_release_reads_an_introduction_with_more_fields() -> None:
     """A rolling upgrade would end at the first stream between two releases."""
     member = frames.Member("a", "p", "10.0.0.1:1", "grades", "far")
     sent = frames.Hello(1, member, 5.0, unpacks=True, age_ms=7.0, fetches=True)
-    data = frames.encoded(sent)[frames.LENGTH.size :]
-    read = msgspec.msgpack.decode(data, type=HelloBefore)
+    data = frames.encode_frame(sent)[frames.LENGTH.size :]
+    read = msgspec.msgpack.decode(data, type=PreviousHello)
     assert (read.member, read.unpacks, read.age_ms) == (member, True, 7.0)
