--- a/src/currantcart/proxy/callers/caller.py
+++ b/src/currantcart/proxy/callers/caller.py
@@ -42,7 +42,7 @@
     def is_last_answer(self, code: int) -> bool:
         """Returns whether a connection is closed after an answer."""
 
-    def hold(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserves memory for bytes; returns whether there is room."""
 
     def release(self, size: int) -> None:
@@ -76,7 +76,7 @@
         self.reader = request_reader.RequestReader(
             owner.context,
             limits=lambda: owner.limits,
-            hold=owner.hold,
+            reserve=owner.reserve,
             new_exchange=lambda: exchange_module.Exchange(self),
             add_exchange=self.add_exchange,
             send_continue=lambda: self.write(CONTINUE),
@@ -146,12 +146,12 @@
 
     def apply_backpressure(self) -> None:
         """Pauses reading while too many requests or answers are queued."""
-        held = len(self.exchanges) >= PIPELINED_MAX or self.write_paused
-        if not self.open or held == self.paused:
+        pause = len(self.exchanges) >= PIPELINED_MAX or self.write_paused
+        if not self.open or pause == self.paused:
             return
         assert self.transport is not None
-        self.paused = held
-        if held:
+        self.paused = pause
+        if pause:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
--- a/src/currantcart/proxy/callers/frontend.py
+++ b/src/currantcart/proxy/callers/frontend.py
@@ -93,7 +93,7 @@
             opened=len(self.connections), failed=code >= status.NO_SUCCESS
         )
 
-    def hold(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserves memory for bytes; returns whether there is room."""
         if self.held_bytes + size > self.HELD_BYTES_MAX:
             return False
--- a/src/currantcart/proxy/callers/request_reader.py
+++ b/src/currantcart/proxy/callers/request_reader.py
@@ -45,7 +45,7 @@
         context: proxy_context.Context,
         *,
         limits: Callable[[], catalog_model.CallerLimits],
-        hold: Callable[[int], bool],
+        reserve: Callable[[int], bool],
         new_exchange: Callable[[], exchange_module.Exchange],
         add_exchange: Callable[[exchange_module.Exchange], None],
         send_continue: Callable[[], None],
@@ -55,14 +55,14 @@
         Args:
           context: State that the parts of the node share.
           limits: Returns the current limits on what a caller may send.
-          hold: Reserves memory for bytes; returns whether there is room.
+          reserve: Reserves memory for bytes; returns whether there is room.
           new_exchange: Returns the exchange for a new request.
           add_exchange: Adds an exchange whose head is complete.
           send_continue: Sends 100 Continue to the caller.
         """
         self.context = context
         self.limits = limits
-        self.hold = hold
+        self.reserve = reserve
         self.new_exchange = new_exchange
         self.add_exchange = add_exchange
         self.send_continue = send_continue
@@ -180,7 +180,7 @@
         self.head_done = True
         self.head_started_at = 0.0
         head = exchange.head
-        head.begun_at = self.context.now
+        head.head_received_at = self.context.now
         head.method = self.parser.get_method().decode("latin-1")
         head.path = self.url.decode("latin-1")
         named = self.connection_options
@@ -209,7 +209,7 @@
         if exchange.size > self.limits().body_bytes:
             self.error_code = "body_too_large"
             raise ValueError(self.error_code)
-        if not self.hold(len(chunk)):
+        if not self.reserve(len(chunk)):
             exchange.rejection = intake.Rejection(
                 503, "memory_full", MEMORY_RETRY_MS
             )
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -25,11 +25,11 @@
         context: proxy_context.Context,
         *,
         own_guard: guard.Guard,
-        outcomes: local_reply.AttemptHandler,
+        handler: local_reply.AttemptHandler,
     ) -> None:
         self.context = context
         self.guard = own_guard
-        self.outcomes = outcomes
+        self.handler = handler
 
     # Sending.
 
@@ -65,14 +65,14 @@
             head=request.head,
             body=request.body,
             more=0,
-            age_ms=now - request.begun_at,
+            age_ms=now - request.head_received_at,
             repeated=call.lineage.repeated or call.handed_to_targets > 0,
         )
 
     def hand_to_local(self, call: call_module.Call, now: float) -> None:
         """Sends a request to the local guard."""
         self.apply_event(call, attempt.Event.HAND_OVER)
-        reply = call.local_reply = local_reply.LocalReply(self.outcomes, call)
+        reply = call.local_reply = local_reply.LocalReply(self.handler, call)
         opening = self.opening(call, 0, now)
         job = self.guard.arrive(
             opening, expires_at=now + opening.left_ms, reply=reply
@@ -123,14 +123,14 @@
         if isinstance(frame, frames.Answer):
             self.handle_answer(call, frame)
         elif isinstance(frame, frames.Refuse):
-            self.outcomes.refused(
+            self.handler.refused(
                 call,
                 frame.code,
                 at_target=frame.at_target,
                 retry_after_ms=frame.retry_after_ms,
             )
         else:
-            self.outcomes.lost(call, frame.code)
+            self.handler.lost(call, frame.code)
 
     def handle_answer(
         self, call: call_module.Call, answer: frames.Answer
@@ -140,9 +140,7 @@
             call.partial_answer, call.missing = answer, answer.more
             call.chunks.append(answer.body)
         else:
-            self.outcomes.answered(
-                call, answer.status, answer.head, answer.body
-            )
+            self.handler.answered(call, answer.status, answer.head, answer.body)
 
     def handle_chunk(self, call: call_module.Call, chunk: bytes) -> None:
         """Handles a further part of an answer."""
@@ -153,7 +151,7 @@
         call.missing -= len(chunk)
         if call.missing <= 0:
             body = b"".join(call.chunks)
-            self.outcomes.answered(call, partial.status, partial.head, body)
+            self.handler.answered(call, partial.status, partial.head, body)
 
     # Ending.
 
@@ -189,4 +187,4 @@
         calls, found.calls = found.calls, {}
         for call in calls.values():
             if isinstance(call, call_module.Call) and call.link is found:
-                self.outcomes.lost(call, "peer_lost")
+                self.handler.lost(call, "peer_lost")
--- a/src/currantcart/proxy/requests/endings.py
+++ b/src/currantcart/proxy/requests/endings.py
@@ -17,7 +17,7 @@
     """Counts a request that has ended, and observes its duration."""
     counts = context.counts
     counts.add("requests", call.service, outcome)
-    since = context.now - call.request.begun_at
+    since = context.now - call.request.head_received_at
     counts.observe("request_seconds", since, call.service)
 
 
@@ -25,7 +25,7 @@
     context: proxy_context.Context, call: call_module.Call, status: int
 ) -> None:
     """Logs an answer that missed its objective, and a sample of the others."""
-    after_ms = context.now - call.request.begun_at
+    after_ms = context.now - call.request.head_received_at
     objective_ms = call.request.route.objective_ms
     late = after_ms > objective_ms
     if not late and context.rng.random() >= LOGGED_SHARE:
@@ -53,7 +53,7 @@
         service=call.service,
         outcomes=",".join(item.name.lower() for item in call.outcomes),
         had_it=",".join(sorted(call.tried_instances)),
-        after_ms=round(context.now - call.request.begun_at),
+        after_ms=round(context.now - call.request.head_received_at),
     )
 
 
@@ -85,7 +85,7 @@
         code=code,
         outcomes=",".join(item.name.lower() for item in call.outcomes),
         had_it=",".join(sorted(call.tried_instances)),
-        after_ms=round(context.now - call.request.begun_at),
+        after_ms=round(context.now - call.request.head_received_at),
         version=context.freshness.version,
         candidates=candidates(context, call, known),
     )
--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -32,8 +32,8 @@
       path: Path and query as received.
       head: End-to-end header lines for the target.
       body: Its body.
-      begun_at: When its complete head had been received.
-      deadline_ms: How long its caller waits from `begun_at` on.
+      head_received_at: When its complete head had been received.
+      deadline_ms: How long its caller waits from `head_received_at` on.
       priority: Rank, 0 is the most urgent.
       workspace: Workspace of its key; empty without one.
       internal: Whether it is a call made by the local target.
@@ -45,7 +45,7 @@
     path: str
     head: bytes
     body: bytes
-    begun_at: float
+    head_received_at: float
     deadline_ms: float
     priority: int
     workspace: str
@@ -64,7 +64,7 @@
       deadline: Value of the deadline header; None without one.
       key: Value of the key header; None without one.
       lines: End-to-end header lines.
-      begun_at: When it was complete.
+      head_received_at: When it was complete.
     """
 
     method: str = ""
@@ -74,7 +74,7 @@
     deadline: bytes | None = None
     key: bytes | None = None
     lines: list[bytes] = dataclasses.field(default_factory=list)
-    begun_at: float = 0.0
+    head_received_at: float = 0.0
 
     def match(
         self, catalog: catalog_model.Catalog
@@ -171,7 +171,7 @@
             path=head.path,
             head=b"",
             body=b"",
-            begun_at=head.begun_at,
+            head_received_at=head.head_received_at,
             deadline_ms=deadline_ms,
             priority=(
                 slots.CALLS_PRIORITY if internal else rank_of(route, None)
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -52,7 +52,7 @@
         self.calls: set[call_module.Call] = set()
         self.edge = edge.IngressShedder(context, pressure_on=self.pressure_on)
         self.attempts = attempts.Attempts(
-            context, own_guard=own_guard, outcomes=self
+            context, own_guard=own_guard, handler=self
         )
         self.pending = parking.PendingRequests(context, dispatch=self.dispatch)
         self.repeats = repeats_module.Retries(
@@ -87,7 +87,7 @@
         service = route.pick_service(self.context.rng)
         left = min(request.deadline_ms, route.timeout_ms)
         call = call_module.Call(
-            request, service, answer, now, request.begun_at + left
+            request, service, answer, now, request.head_received_at + left
         )
         self.calls.add(call)
         if call.expires_at - now < guard.LATE_MS:
