--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -143,7 +143,7 @@
         )
         self.outbound.peers = self.peers
         self.statuses.peers = self.peers
-        self.guard.called_pressure = self.outbound.edge.called_pressure
+        self.guard.called_pressure = self.outbound.ingress.called_pressure
         self.feed.peers = self.peers
         self.feed.exchange.peers = self.peers
         self.registration = registration.Registration(
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -8,7 +8,13 @@
 from currantcart.call import attempt, lineage
 from currantcart.http1 import status as status_module
 from currantcart.proxy import context as proxy_context
-from currantcart.proxy.requests import attempts, edge, endings, intake, parking
+from currantcart.proxy.requests import (
+    attempts,
+    endings,
+    ingress,
+    intake,
+    parking,
+)
 from currantcart.proxy.requests import call as call_module
 from currantcart.proxy.requests import repeats as repeats_module
 from currantcart.proxy.streams import peers as peers_module
@@ -26,7 +32,7 @@
 
     Attributes:
       calls: Requests that have not ended.
-      edge: Sheds root requests when services further down are saturated.
+      ingress: Sheds root requests when services further down are saturated.
       attempts: Sends requests to guards.
       pending: Requests that wait until a target is known.
       repeats: Decides which requests are retried.
@@ -50,7 +56,9 @@
             rng=context.rng,
         )
         self.calls: set[call_module.Call] = set()
-        self.edge = edge.IngressShedder(context, pressure_on=self.pressure_on)
+        self.ingress = ingress.IngressShedder(
+            context, pressure_on=self.pressure_on
+        )
         self.attempts = attempts.Attempts(
             context, own_guard=own_guard, handler=self
         )
@@ -95,8 +103,8 @@
             return None
         self.set_lineage(call)
         if request.internal:
-            self.edge.record_called(service)
-        elif by := self.edge.shed_by(call):
+            self.ingress.record_called(service)
+        elif by := self.ingress.shed_by(call):
             self.reject(call, f"shed_for_{by}")
             return None
         if not self.repeats.admit(call):
@@ -170,7 +178,7 @@
         endings.count_end(self.context, call, f"{status // 100}xx")
         self.attempts.end_attempt(call, failed=failed)
         self.remove(call)
-        self.edge.record_end(call, failed=failed)
+        self.ingress.record_end(call, failed=failed)
         if failed:
             self.log_end(call, "target_failed", status)
         else:
