--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -13,7 +13,7 @@
     endings,
     ingress,
     intake,
-    parking,
+    pending,
 )
 from currantcart.proxy.requests import call as call_module
 from currantcart.proxy.requests import repeats as repeats_module
@@ -62,7 +62,7 @@
         self.attempts = attempts.Attempts(
             context, own_guard=own_guard, handler=self
         )
-        self.pending = parking.PendingRequests(context, dispatch=self.dispatch)
+        self.pending = pending.PendingRequests(context, dispatch=self.dispatch)
         self.repeats = repeats_module.Retries(
             context, node_count=self.node_count
         )
