--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -172,7 +172,7 @@
             hold=self.background.hold,
         )
         self.state_log = state_log.StateLog(
-            context, quotas=self.quotas, budgets=self.outbound.repeats.budgets
+            context, quotas=self.quotas, budgets=self.outbound.retries.budgets
         )
         self.stopping = asyncio.Event()
         self.discovered = asyncio.Event()
@@ -244,12 +244,12 @@
             "rates_exhausted": lambda: len(self.state_log.over_rate),
             "budgets_exhausted": lambda: len(self.state_log.spent),
             "retry_budget_nodes": lambda: (
-                self.outbound.repeats.fixed_part.nodes
+                self.outbound.retries.fixed_part.nodes
             ),
-            "retry_budget_nodes_age_seconds": self.outbound.repeats.nodes_age,
+            "retry_budget_nodes_age_seconds": self.outbound.retries.nodes_age,
             "log_bytes_dropped": lambda: self.context.log.dropped_bytes,
         }
-        self.context.counts.service_gauges = self.outbound.repeats.gauges()
+        self.context.counts.service_gauges = self.outbound.retries.gauges()
 
     # Start and periodic work.
 
@@ -324,7 +324,7 @@
         self.outbound.refresh_own()
         self.peers.tick()
         self.feed.tick()
-        self.outbound.repeats.note_fleet()
+        self.outbound.retries.note_fleet()
         now = self.context.now
         self.silence.tick(asking=bool(self.quotas.expedited()))
         self.quotas.set_silent(self.silence.share(), now)
@@ -351,7 +351,7 @@
         before = self.context.settings
         self.context.settings = settings
         self.callers.intake.revoke_ms = settings.bounds.revoke_seconds * 1e3
-        self.outbound.repeats.use_bounds(settings.bounds)
+        self.outbound.retries.use_bounds(settings.bounds)
         self.context.log.event(
             "settings_read",
             changed=settings != before,
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -16,7 +16,7 @@
     pending,
 )
 from currantcart.proxy.requests import call as call_module
-from currantcart.proxy.requests import repeats as repeats_module
+from currantcart.proxy.requests import retries as retries_module
 from currantcart.proxy.streams import peers as peers_module
 from currantcart.proxy.targets import guard
 from currantcart.routing import picker
@@ -35,7 +35,7 @@
       ingress: Sheds root requests when services further down are saturated.
       attempts: Sends requests to guards.
       pending: Requests that wait until a target is known.
-      repeats: Decides which requests are retried.
+      retries: Decides which requests are retried.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
             context, own_guard=own_guard, handler=self
         )
         self.pending = pending.PendingRequests(context, dispatch=self.dispatch)
-        self.repeats = repeats_module.Retries(
+        self.retries = retries_module.Retries(
             context, node_count=self.node_count
         )
 
@@ -107,7 +107,7 @@
         elif by := self.ingress.shed_by(call):
             self.reject(call, f"shed_for_{by}")
             return None
-        if not self.repeats.admit(call):
+        if not self.retries.admit(call):
             self.reject(call, "retry_budget_exhausted")
             return None
         call.timer = self.context.loop.call_later(
@@ -233,7 +233,7 @@
     def retry(self, call: call_module.Call) -> None:
         """Sends a request to another target, if route and budget allow."""
         call.handed_to_targets += 1
-        if self.repeats.take_retry(call):
+        if self.retries.take_retry(call):
             self.dispatch(call)
         else:
             self.give_up(call)
--- a/tests/proxy/requests/test_chains.py
+++ b/tests/proxy/requests/test_chains.py
@@ -79,7 +79,7 @@
     far = await mesh.repeated_run("9c4")
     call = await start_call(mesh, far, "9c4.7b4")
     assert call.lineage.repeated
-    kept = far.node.outbound.repeats.budgets["grades"]
+    kept = far.node.outbound.retries.budgets["grades"]
     now = far.node.context.now
     assert kept.requests_in_window(now) == 0
     assert kept.repeats_in_window(now) == 1
--- a/tests/proxy/requests/test_repeats.py
+++ b/tests/proxy/requests/test_retries.py
@@ -155,12 +155,12 @@
     mesh: fake_mesh.Mesh,
 ) -> None:
     front = await ask_rejecting_targets(mesh, requests=0)
-    repeats = front.node.outbound.repeats
-    assert repeats.share() == pytest.approx(1 / 3)
+    retries = front.node.outbound.retries
+    assert retries.share() == pytest.approx(1 / 3)
     mesh.store.refusing = True
     await mesh.restart(front)
     await mesh.settle(fake_mesh.SHARING_SECONDS)
-    assert front.node.outbound.repeats.share() == 0.0
+    assert front.node.outbound.retries.share() == 0.0
 
 
 async def test_changed_bounds_apply_to_requests_counted_before(
@@ -172,7 +172,7 @@
         before.bounds, retry_ratio=0.0, retry_slack=0.0
     )
     front.node.use_settings(msgspec.structs.replace(before, bounds=bounds))
-    (standing,) = front.node.outbound.repeats.standings().values()
+    (standing,) = front.node.outbound.retries.standings().values()
     assert standing.requests == 30
     assert standing.left == 0.0
 
@@ -184,7 +184,7 @@
     before = front.node.context.settings
     bounds = msgspec.structs.replace(before.bounds, retry_window_seconds=5.0)
     front.node.use_settings(msgspec.structs.replace(before, bounds=bounds))
-    assert front.node.outbound.repeats.share() == 0.0
+    assert front.node.outbound.retries.share() == 0.0
 
 
 async def test_an_idle_node_that_loses_its_peers_keeps_its_share(
@@ -193,4 +193,4 @@
     """Guards against a fleet size that is recorded only on a retry."""
     front = await ask_rejecting_targets(mesh, requests=0)
     front.node.peers.by_instance.clear()
-    assert front.node.outbound.repeats.share() <= 1 / 3
+    assert front.node.outbound.retries.share() <= 1 / 3
