--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -184,7 +184,7 @@
     def handle_call_frame(self, item: link.Link, frame: frames.Frame) -> None:
         """Dispatches a call frame to the outbound or the inbound side."""
         if item.dialled:
-            self.outbound.attempts.frame(item, frame)
+            self.outbound.attempts.handle_frame(item, frame)
         else:
             self.inbound.handle_frame(item, frame)
 
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -105,7 +105,7 @@
         call.outcomes[-1] = outcome
         return outcome
 
-    def frame(self, found: link.Link, frame: frames.Frame) -> None:
+    def handle_frame(self, found: link.Link, frame: frames.Frame) -> None:
         """Handles a frame of a call that this node opened."""
         assert isinstance(
             frame, frames.Answer | frames.Refuse | frames.Lost | frames.Data
