--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -321,7 +321,7 @@
         self.ticks += 1
         if self.guard.update_gauge():
             self.peers.publish()
-        self.outbound.refresh_own()
+        self.outbound.refresh_local_target()
         self.peers.tick()
         self.feed.tick()
         self.outbound.retries.note_fleet()
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -137,7 +137,7 @@
         assert self.peers is not None
         now = self.context.now
         if call.service == self.peers.own.service:
-            self.refresh_own()
+            self.refresh_local_target()
         targets = self.peers.reachability.candidates(call.service)
         chosen = self.picker.choose(
             targets,
@@ -162,7 +162,7 @@
             return
         self.attempts.hand_to_peer(call, found, now)
 
-    def refresh_own(self) -> None:
+    def refresh_local_target(self) -> None:
         """Updates the local target's routing state from the local guard."""
         assert self.peers is not None
         self.peers.take_target(self.peers.own, self.guard.state())
