--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -324,7 +324,7 @@
         self.outbound.refresh_local_target()
         self.peers.tick()
         self.feed.tick()
-        self.outbound.retries.note_fleet()
+        self.outbound.retries.record_fleet_size()
         now = self.context.now
         self.silence.tick(asking=bool(self.quotas.expedited()))
         self.quotas.set_silent(self.silence.share(), now)
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -66,7 +66,7 @@
             window_ms=self.window_ms, started_at=self.context.now
         )
 
-    def note_fleet(self) -> None:
+    def record_fleet_size(self) -> None:
         """Records the number of known nodes; called at regular intervals."""
         self.fixed_part.note(self.node_count(), self.context.now)
 
