--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -10,7 +10,7 @@
 from currantcart.proxy import context as proxy_context
 from currantcart.proxy.requests import (
     attempts,
-    endings,
+    completion,
     ingress,
     intake,
     pending,
@@ -175,14 +175,14 @@
         """Ends a request with its target's answer."""
         failed = status >= status_module.SERVER_ERROR
         self.attempts.apply_event(call, attempt.Event.ANSWER)
-        endings.count_end(self.context, call, f"{status // 100}xx")
+        completion.count_end(self.context, call, f"{status // 100}xx")
         self.attempts.end_attempt(call, failed=failed)
         self.remove(call)
         self.ingress.record_end(call, failed=failed)
         if failed:
             self.log_end(call, "target_failed", status)
         else:
-            endings.log_answer(self.context, call, status)
+            completion.log_answer(self.context, call, status)
         call.answer(status, head, body)
 
     def refused(
@@ -275,7 +275,7 @@
         A request that did not run returns its token of the workspace's rate
         limit.
         """
-        endings.count_end(self.context, call, code)
+        completion.count_end(self.context, call, code)
         self.remove(call)
         self.log_end(call, code, status)
         not_run = all(
@@ -291,7 +291,7 @@
         """Logs a request that failed, with the targets that were known."""
         assert self.peers is not None
         known = self.peers.by_service.get(call.service, [])
-        endings.log_end(
+        completion.log_end(
             self.context, call, code=code, status=status, known=known
         )
 
@@ -306,7 +306,7 @@
     def cancel(self, call: call_module.Call) -> None:
         """Cancels a request whose caller has disconnected."""
         if not call.done:
-            endings.count_end(self.context, call, "caller_left")
-            endings.log_left(self.context, call)
+            completion.count_end(self.context, call, "caller_left")
+            completion.log_left(self.context, call)
             self.attempts.cancel(call)
             self.remove(call)
