--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -83,17 +83,17 @@
             call.job = job
 
     def hand_to_peer(
-        self, call: call_module.Call, found: link.Link, now: float
+        self, call: call_module.Call, peer_link: link.Link, now: float
     ) -> None:
         """Sends a request to a peer's guard."""
         self.apply_event(call, attempt.Event.HAND_OVER)
-        call.link, call.number = found, next(found.numbers)
-        found.calls[call.number] = call
+        call.link, call.number = peer_link, next(peer_link.numbers)
+        peer_link.calls[call.number] = call
         opening = self.opening(call, call.number, now)
         body = opening.body
         opening.body, opening.more = frames.first_chunk(body)
-        found.send(opening)
-        frames.send_rest(call.number, body, found.send)
+        peer_link.send(opening)
+        frames.send_rest(call.number, body, peer_link.send)
 
     # Results.
 
@@ -105,12 +105,12 @@
         call.outcomes[-1] = outcome
         return outcome
 
-    def handle_frame(self, found: link.Link, frame: frames.Frame) -> None:
+    def handle_frame(self, peer_link: link.Link, frame: frames.Frame) -> None:
         """Handles a frame of a call that this node opened."""
         assert isinstance(
             frame, frames.Answer | frames.Refuse | frames.Lost | frames.Data
         )
-        call = found.calls.get(frame.call)
+        call = peer_link.calls.get(frame.call)
         if not isinstance(call, call_module.Call) or call.done:
             return
         if isinstance(frame, frames.Data):
@@ -182,9 +182,9 @@
             self.apply_event(call, attempt.Event.LOSE)
         self.end_attempt(call, failed=False)
 
-    def link_lost(self, found: link.Link) -> None:
+    def link_lost(self, peer_link: link.Link) -> None:
         """Marks the attempts on a lost stream as lost."""
-        calls, found.calls = found.calls, {}
+        calls, peer_link.calls = peer_link.calls, {}
         for call in calls.values():
-            if isinstance(call, call_module.Call) and call.link is found:
+            if isinstance(call, call_module.Call) and call.link is peer_link:
                 self.handler.lost(call, "peer_lost")
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -153,14 +153,14 @@
         if chosen is self.peers.own:
             self.attempts.hand_to_local(call, now)
             return
-        found = self.peers.link_to(chosen.instance)
-        if found is None:
+        peer_link = self.peers.link_to(chosen.instance)
+        if peer_link is None:
             # Its stream became silent after the candidates were listed.
             self.attempts.apply_event(call, attempt.Event.LOSE)
             self.attempts.end_attempt(call, failed=False)
             self.dispatch(call)
             return
-        self.attempts.hand_to_peer(call, found, now)
+        self.attempts.hand_to_peer(call, peer_link, now)
 
     def refresh_local_target(self) -> None:
         """Updates the local target's routing state from the local guard."""
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -57,8 +57,11 @@
             # after a start, the budgets that they held count as used up.
             self.budgets.clear()
             self.fixed_part = self.new_fixed_part()
-        for kept in self.budgets.values():
-            kept.ratio, kept.slack = bounds.retry_ratio, bounds.retry_slack
+        for retry_budget in self.budgets.values():
+            retry_budget.ratio, retry_budget.slack = (
+                bounds.retry_ratio,
+                bounds.retry_slack,
+            )
 
     def new_fixed_part(self) -> fixed_part.FixedPart:
         """Returns the share of a process that starts counting now."""
@@ -78,8 +81,8 @@
         """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
-            service: kept.standing(now, share=share)
-            for service, kept in self.budgets.items()
+            service: retry_budget.standing(now, share=share)
+            for service, retry_budget in self.budgets.items()
         }
 
     def nodes_age(self) -> float:
@@ -137,9 +140,9 @@
           call: The request.
           cause: Why it is a retry, for metrics and log.
         """
-        kept, share = self.budget_of(call.service), self.share()
-        standing = kept.standing(self.context.now, share=share)
-        taken = kept.spend(self.context.now, left=standing.left)
+        retry_budget, share = self.budget_of(call.service), self.share()
+        standing = retry_budget.standing(self.context.now, share=share)
+        taken = retry_budget.spend(self.context.now, left=standing.left)
         name = "repeats" if taken else "repeats_refused"
         self.context.counts.add(name, call.service, cause)
         is_call = cause == CALLED_BY_RETRY
