--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -14,7 +14,7 @@
 from currantcart.workspace import quota
 
 
-def whole(milliseconds: float) -> float:
+def floor_ms(milliseconds: float) -> float:
     """Returns a time rounded down, because fractions compress poorly."""
     if math.isinf(milliseconds):
         return milliseconds
@@ -62,11 +62,11 @@
         now = self.context.now
         known = self.context.freshness
         return frames.Status(
-            now_ms=whole(now),
+            now_ms=floor_ms(now),
             echo_ms=item.status_now,
-            held_ms=whole(now - item.status_at),
+            held_ms=floor_ms(now - item.status_at),
             version=known.version,
-            as_of_ms=whole(known.as_of),
+            as_of_ms=floor_ms(known.as_of),
             target=self.guard.state(),
             counts=item.unpublished(self.quotas.counts()),
             left=self.peers.left.get(item.peer.instance) if item.peer else None,
--- a/tests/proxy/streams/test_frames.py
+++ b/tests/proxy/streams/test_frames.py
@@ -130,9 +130,9 @@
         now = answered + one_way
         clock.sample(
             now=now,
-            peer_now=statuses.whole(answered + ahead),
-            echo=statuses.whole(asked),
-            held=statuses.whole(answered - taken),
+            peer_now=statuses.floor_ms(answered + ahead),
+            echo=statuses.floor_ms(asked),
+            held=statuses.floor_ms(answered - taken),
         )
         assert clock.to_own(answered + ahead) <= answered + 1e-6
         assert clock.to_own(answered + ahead) > answered - 2 * one_way - 4
@@ -147,11 +147,11 @@
         level = rng.random()
         packer.add(
             frames.Status(
-                now_ms=statuses.whole(now),
-                echo_ms=statuses.whole(now / 3),
-                held_ms=statuses.whole(rng.uniform(0.0, 1_400.0)),
+                now_ms=statuses.floor_ms(now),
+                echo_ms=statuses.floor_ms(now / 3),
+                held_ms=statuses.floor_ms(rng.uniform(0.0, 1_400.0)),
                 version=37,
-                as_of_ms=statuses.whole(now - rng.uniform(0.0, 700.0)),
+                as_of_ms=statuses.floor_ms(now - rng.uniform(0.0, 700.0)),
                 target=frames.TargetState(
                     "i-1", True, 12, 3, pressure=pressure.coarse({"s": level})
                 ),
