--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -41,7 +41,7 @@
 """Time to send the leave message before the streams are closed."""
 
 
-def heard_after_ms(pace_ms: float) -> float:
+def dissemination_lag_ms(pace_ms: float) -> float:
     """Returns the time until peers have an update sent at a given interval."""
     return math.ceil(pace_ms / TICK_MS) * TICK_MS + TRANSIT_MS
 
@@ -331,8 +331,8 @@
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
             nodes=peer_count + 1,
-            lag_ms=heard_after_ms(self.context.pace_ms),
-            expedited_lag_ms=heard_after_ms(
+            lag_ms=dissemination_lag_ms(self.context.pace_ms),
+            expedited_lag_ms=dissemination_lag_ms(
                 publisher.counts_pace_ms(peer_count)
             ),
         )
--- a/tests/workspace/test_publisher.py
+++ b/tests/workspace/test_publisher.py
@@ -29,8 +29,8 @@
         peers = count - 1
         self.status_pace = int(publisher.status_pace_ms(peers))
         expedited = publisher.counts_pace_ms(peers)
-        lag_ms = node_module.heard_after_ms(self.status_pace)
-        expedited_lag_ms = node_module.heard_after_ms(expedited)
+        lag_ms = node_module.dissemination_lag_ms(self.status_pace)
+        expedited_lag_ms = node_module.dissemination_lag_ms(expedited)
         self.expedited_pace = int(expedited_lag_ms - node_module.TRANSIT_MS)
         self.rng = random.Random(3)
         self.nodes = [quota.Quotas() for _ in range(count)]
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -259,7 +259,7 @@
         fleet,
         per_second=per_second,
         partition_at=3_000,
-        reported_ms=round(node_module.heard_after_ms(counts_ms)),
+        reported_ms=round(node_module.dissemination_lag_ms(counts_ms)),
     )
     assert fleet.most_in_a_window() <= ALLOWED
 
