--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -34,7 +34,7 @@
         connections are closed after their next response.
       closing: Whether the node rejects new requests of callers.
       leaving: Whether the node rejects new requests for its target.
-      pace_ms: Interval between two statuses on a stream, in milliseconds.
+      status_interval_ms: Time between two statuses on a stream.
       started_at: Start of this process, in milliseconds of the node's clock.
     """
 
@@ -54,7 +54,7 @@
     draining: bool = False
     closing: bool = False
     leaving: bool = False
-    pace_ms: float = 400.0
+    status_interval_ms: float = 400.0
     started_at: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -331,7 +331,7 @@
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
             nodes=peer_count + 1,
-            lag_ms=dissemination_lag_ms(self.context.pace_ms),
+            lag_ms=dissemination_lag_ms(self.context.status_interval_ms),
             expedited_lag_ms=dissemination_lag_ms(
                 publisher.counts_pace_ms(peer_count)
             ),
--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -349,17 +349,17 @@
         may be queued for seconds while the opposite direction is clear. The
         peer's echo of a recent status shows that it is not.
         """
-        limit = suspect_ms(self.context.pace_ms)
+        limit = suspect_ms(self.context.status_interval_ms)
         return (
             self.ready
             and self.transport is not None
             and now - self.heard_at < limit
-            and now - self.echoed_at < limit + self.context.pace_ms
+            and now - self.echoed_at < limit + self.context.status_interval_ms
         )
 
     def check(self, now: float) -> None:
         """Closes the stream if it is silent or a probe has timed out."""
-        pace = self.context.pace_ms
+        pace = self.context.status_interval_ms
         silent = now - self.heard_at > silent_ms(pace)
         unanswered = bool(
             self.asked_at
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -190,7 +190,7 @@
     def is_alive(self, peer: peer_module.Peer) -> bool:
         """Returns whether a peer is not silent."""
         silence = self.context.now - peer.heard_at
-        return silence < link.silent_ms(self.context.pace_ms)
+        return silence < link.silent_ms(self.context.status_interval_ms)
 
     def rank(self) -> int:
         """Returns this node's rank among the live nodes, from 0.
--- a/src/currantcart/proxy/streams/publisher.py
+++ b/src/currantcart/proxy/streams/publisher.py
@@ -73,8 +73,8 @@
     def tick(self, now: float) -> None:
         """Sends the status and the expedited counts if they are due."""
         count = self.peer_count()
-        self.context.pace_ms = status_pace_ms(count)
-        if now - self.published_at >= self.context.pace_ms:
+        self.context.status_interval_ms = status_pace_ms(count)
+        if now - self.published_at >= self.context.status_interval_ms:
             self.publish()
         if now - self.expedited_at >= counts_pace_ms(count):
             self.expedited_at = now
--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -107,7 +107,7 @@
         """
         if not asking and not self.domains:
             return
-        now, limit = self.context.now, late_ms(self.context.pace_ms)
+        now, limit = self.context.now, late_ms(self.context.status_interval_ms)
         domains: dict[str, list[peer_module.Peer]] = {}
         processes: dict[str, Probe] = {}
         for peer in self.live_peers():
@@ -147,7 +147,9 @@
     def share(self) -> float:
         """Returns the share of the fleet that is silent, 0 to 1."""
         live_peers = self.live_peers()
-        oldest = self.context.now - link.suspect_ms(self.context.pace_ms)
+        oldest = self.context.now - link.suspect_ms(
+            self.context.status_interval_ms
+        )
         silent = sum(
             peer.heard_at < oldest or self.missed_probe(peer)
             for peer in live_peers
--- a/tests/proxy/streams/test_link.py
+++ b/tests/proxy/streams/test_link.py
@@ -17,7 +17,7 @@
     await mesh.settle()
     item = place.node.peers.by_instance["b"].outgoing
     assert item is not None
-    item.context.pace_ms = PACE_MS
+    item.context.status_interval_ms = PACE_MS
     return item
 
 
