--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -74,7 +74,7 @@
         self.apply_event(call, attempt.Event.HAND_OVER)
         reply = call.local_reply = local_reply.LocalReply(self.handler, call)
         opening = self.opening(call, 0, now)
-        job = self.guard.arrive(
+        job = self.guard.submit(
             opening, expires_at=now + opening.left_ms, reply=reply
         )
         if call.local_reply is reply:
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -161,7 +161,7 @@
             "slots": self.queue.slots,
         }
 
-    def arrive(
+    def submit(
         self,
         opening: frames.Open,
         *,
--- a/src/currantcart/proxy/targets/inbound.py
+++ b/src/currantcart/proxy/targets/inbound.py
@@ -175,7 +175,7 @@
         opening = arrival.opening
         sent_at = arrival.link.clock.to_own(opening.sent_ms)
         now = self.context.now
-        arrival.job = self.guard.arrive(
+        arrival.job = self.guard.submit(
             opening,
             expires_at=min(sent_at, now) + opening.left_ms,
             reply=arrival,
