--- a/src/currantcart/proxy/callers/frontend.py
+++ b/src/currantcart/proxy/callers/frontend.py
@@ -115,7 +115,7 @@
                 self.context.catalog,
                 self.context.freshness,
                 self.context.now,
-                closing=self.context.closing,
+                closing=self.context.rejecting_callers,
             )
         if isinstance(checked, intake.Rejection):
             self.reject(exchange, checked)
--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -32,7 +32,7 @@
       freshness: How recently `catalog` was confirmed to be the newest version.
       draining: Whether the node shuts down: readiness fails, and callers'
         connections are closed after their next response.
-      closing: Whether the node rejects new requests of callers.
+      rejecting_callers: Whether the node rejects new requests of callers.
       leaving: Whether the node rejects new requests for its target.
       status_interval_ms: Time between two statuses on a stream.
       started_at: Start of this process, in milliseconds of the node's clock.
@@ -52,7 +52,7 @@
         default_factory=freshness.Freshness
     )
     draining: bool = False
-    closing: bool = False
+    rejecting_callers: bool = False
     leaving: bool = False
     status_interval_ms: float = 400.0
     started_at: float = dataclasses.field(init=False)
--- a/src/currantcart/proxy/shutdown.py
+++ b/src/currantcart/proxy/shutdown.py
@@ -54,7 +54,7 @@
             context.leaving = True
             publish()
         if context.now - started >= SERVE_CALLERS_MS:
-            context.closing = True
+            context.rejecting_callers = True
             close_idle()
             if not running():
                 break
--- a/tests/proxy/streams/test_config.py
+++ b/tests/proxy/streams/test_config.py
@@ -186,7 +186,7 @@
     mesh.store.operate("op/config", document)
     place = await mesh.add("a")
     await mesh.settle()
-    place.node.context.closing = True
+    place.node.context.rejecting_callers = True
     reply = await mesh.ask(place, fake_mesh.request(key=None))
     assert reply.status == 200
 
