--- a/src/currantcart/platform/names.py
+++ b/src/currantcart/platform/names.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from currantcart.proxy import dialect
+from currantcart.proxy import header_names
 
-DIALECT = dialect.Dialect(
+DIALECT = header_names.Dialect(
     request_id="Currantcart-Request-Id",
     deadline="Currantcart-Deadline-Ms",
     workspace="Currantcart-Tenant",
--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -9,7 +9,7 @@
 from currantcart import clock as clock_module
 from currantcart.catalog import model as catalog_model
 from currantcart.fleet import freshness
-from currantcart.proxy import dialect as dialect_module
+from currantcart.proxy import header_names as header_names_module
 from currantcart.proxy import settings as proxy_settings
 from currantcart.telemetry import counts, decisions
 
@@ -39,8 +39,8 @@
     """
 
     settings: proxy_settings.ProxySettings
-    dialect: dialect_module.Dialect
-    keys: dialect_module.HeaderKeys
+    dialect: header_names_module.Dialect
+    keys: header_names_module.HeaderKeys
     process: str
     clock: clock_module.Clock
     loop: asyncio.AbstractEventLoop
--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -12,7 +12,7 @@
 from currantcart.admission import returns, slots
 from currantcart.catalog import model as catalog_model
 from currantcart.fleet import freshness
-from currantcart.proxy import dialect
+from currantcart.proxy import header_names
 from currantcart.workspace import quota
 
 STALE_MS = 3_000.0
@@ -116,7 +116,7 @@
     def __init__(
         self,
         *,
-        names: dialect.Dialect,
+        names: header_names.Dialect,
         service: str,
         revoke_ms: float,
         quotas: quota.Quotas,
--- a/src/currantcart/proxy/serve.py
+++ b/src/currantcart/proxy/serve.py
@@ -18,7 +18,7 @@
 from currantcart.platform import config, names, reports
 from currantcart.platform import store as platform_store
 from currantcart.proxy import context as proxy_context
-from currantcart.proxy import dialect, node
+from currantcart.proxy import header_names, node
 from currantcart.proxy import settings as proxy_settings
 from currantcart.telemetry import decisions
 
@@ -43,7 +43,7 @@
     context = proxy_context.Context(
         settings=settings,
         dialect=names.DIALECT,
-        keys=dialect.HeaderKeys.of(names.DIALECT),
+        keys=header_names.HeaderKeys.of(names.DIALECT),
         process=secrets.token_hex(6),
         clock=clock,
         loop=loop,
--- a/src/currantcart/proxy/targets/job.py
+++ b/src/currantcart/proxy/targets/job.py
@@ -8,7 +8,7 @@
 from currantcart.admission import slots
 from currantcart.call import lineage
 from currantcart.http1 import pool, status
-from currantcart.proxy import dialect
+from currantcart.proxy import header_names
 from currantcart.proxy.streams import frames
 
 # Statuses with which the not-executed header is trusted.
@@ -85,7 +85,7 @@
 
 
 def read_answer(
-    response: pool.Response, keys: dialect.HeaderKeys
+    response: pool.Response, keys: header_names.HeaderKeys
 ) -> AnswerHead:
     """Parses the head of a target's response.
 
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -16,7 +16,7 @@
 from currantcart import clock as clock_module
 from currantcart.platform import config, names, reports
 from currantcart.proxy import context as proxy_context
-from currantcart.proxy import dialect, node
+from currantcart.proxy import header_names, node
 from currantcart.proxy import settings as proxy_settings
 from currantcart.telemetry import decisions
 from tests.fakes import leased
@@ -279,7 +279,7 @@
         context = proxy_context.Context(
             settings=settings,
             dialect=names.DIALECT,
-            keys=dialect.HeaderKeys.of(names.DIALECT),
+            keys=header_names.HeaderKeys.of(names.DIALECT),
             process=f"p{self.starts}",
             clock=self.clock,
             loop=self.loop,
