--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -39,7 +39,7 @@
     """
 
     settings: proxy_settings.ProxySettings
-    dialect: header_names_module.Dialect
+    dialect: header_names_module.HeaderNames
     keys: header_names_module.HeaderKeys
     process: str
     clock: clock_module.Clock
--- a/src/currantcart/proxy/header_names.py
+++ b/src/currantcart/proxy/header_names.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dialect:
+class HeaderNames:
     """Header names, as written on the wire.
 
     Attributes:
@@ -57,11 +57,11 @@
     """Header names in lower case, for look-up in parsed heads.
 
     Attributes:
-      request_id: See `Dialect`.
-      deadline: See `Dialect`.
-      not_executed: See `Dialect`.
-      key: See `Dialect`.
-      seal: See `Dialect`.
+      request_id: See `HeaderNames`.
+      deadline: See `HeaderNames`.
+      not_executed: See `HeaderNames`.
+      key: See `HeaderNames`.
+      seal: See `HeaderNames`.
       stripped: Headers that are not forwarded: `HOP_BY_HOP` and those that
         the node sets itself.
     """
@@ -74,7 +74,7 @@
     stripped: frozenset[bytes]
 
     @classmethod
-    def of(cls, dialect: Dialect) -> HeaderKeys:
+    def of(cls, dialect: HeaderNames) -> HeaderKeys:
         """Returns the keys of a dialect.
 
         Headers that the node sets itself are stripped from callers' requests,
--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -116,7 +116,7 @@
     def __init__(
         self,
         *,
-        names: header_names.Dialect,
+        names: header_names.HeaderNames,
         service: str,
         revoke_ms: float,
         quotas: quota.Quotas,
