--- a/src/currantcart/platform/names.py
+++ b/src/currantcart/platform/names.py
@@ -4,7 +4,7 @@
 
 from currantcart.proxy import header_names
 
-DIALECT = header_names.HeaderNames(
+HEADER_NAMES = header_names.HeaderNames(
     request_id="Currantcart-Request-Id",
     deadline="Currantcart-Deadline-Ms",
     workspace="Currantcart-Tenant",
--- a/src/currantcart/proxy/serve.py
+++ b/src/currantcart/proxy/serve.py
@@ -42,8 +42,8 @@
     os.set_blocking(1, False)
     context = proxy_context.Context(
         settings=settings,
-        dialect=names.DIALECT,
-        keys=header_names.HeaderKeys.of(names.DIALECT),
+        dialect=names.HEADER_NAMES,
+        keys=header_names.HeaderKeys.of(names.HEADER_NAMES),
         process=secrets.token_hex(6),
         clock=clock,
         loop=loop,
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -278,8 +278,8 @@
         self.starts += 1
         context = proxy_context.Context(
             settings=settings,
-            dialect=names.DIALECT,
-            keys=header_names.HeaderKeys.of(names.DIALECT),
+            dialect=names.HEADER_NAMES,
+            keys=header_names.HeaderKeys.of(names.HEADER_NAMES),
             process=f"p{self.starts}",
             clock=self.clock,
             loop=self.loop,
