--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -20,7 +20,7 @@
 
     Attributes:
       settings: Settings in force.
-      dialect: Header names of the deployment.
+      header_names: Header names of the deployment.
       keys: The same names, in the form that parsers look up.
       process: Id of this process.
       clock: Clock of the node.
@@ -39,7 +39,7 @@
     """
 
     settings: proxy_settings.ProxySettings
-    dialect: header_names_module.HeaderNames
+    header_names: header_names_module.HeaderNames
     keys: header_names_module.HeaderKeys
     process: str
     clock: clock_module.Clock
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -100,7 +100,7 @@
         self.callers = frontend.CallerServer(
             context,
             checks=intake.Intake(
-                names=context.dialect,
+                names=context.header_names,
                 service=settings.service,
                 revoke_ms=settings.bounds.revoke_seconds * 1_000,
                 quotas=self.quotas,
--- a/src/currantcart/proxy/serve.py
+++ b/src/currantcart/proxy/serve.py
@@ -42,7 +42,7 @@
     os.set_blocking(1, False)
     context = proxy_context.Context(
         settings=settings,
-        dialect=names.HEADER_NAMES,
+        header_names=names.HEADER_NAMES,
         keys=header_names.HeaderKeys.of(names.HEADER_NAMES),
         process=secrets.token_hex(6),
         clock=clock,
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -50,7 +50,7 @@
             address=proxy_settings.split_address(context.settings.target),
             loop=context.loop,
         )
-        dialect = context.dialect
+        dialect = context.header_names
         self.deadline_line = f"{dialect.deadline}: %d\r\n".encode()
         self.expected_line = f"{dialect.expected}: %s\r\n".encode()
         self.speed = speed.Speed()
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -278,7 +278,7 @@
         self.starts += 1
         context = proxy_context.Context(
             settings=settings,
-            dialect=names.HEADER_NAMES,
+            header_names=names.HEADER_NAMES,
             keys=header_names.HeaderKeys.of(names.HEADER_NAMES),
             process=f"p{self.starts}",
             clock=self.clock,
