--- a/src/currantcart/proxy/header_names.py
+++ b/src/currantcart/proxy/header_names.py
@@ -74,8 +74,8 @@
     stripped: frozenset[bytes]
 
     @classmethod
-    def of(cls, dialect: HeaderNames) -> HeaderKeys:
-        """Returns the keys of a dialect.
+    def of(cls, names: HeaderNames) -> HeaderKeys:
+        """Returns the keys for a deployment's header names.
 
         Headers that the node sets itself are stripped from callers' requests,
         because a target would trust them as set by the node.
@@ -85,17 +85,17 @@
             return name.lower().encode()
 
         set_by_node = {
-            lower(dialect.deadline),
-            lower(dialect.workspace),
-            lower(dialect.caller),
-            lower(dialect.expected),
-            lower(dialect.key),
+            lower(names.deadline),
+            lower(names.workspace),
+            lower(names.caller),
+            lower(names.expected),
+            lower(names.key),
         }
         return cls(
-            request_id=lower(dialect.request_id),
-            deadline=lower(dialect.deadline),
-            not_executed=lower(dialect.not_executed),
-            key=lower(dialect.key),
-            seal=lower(dialect.seal),
+            request_id=lower(names.request_id),
+            deadline=lower(names.deadline),
+            not_executed=lower(names.not_executed),
+            key=lower(names.key),
+            seal=lower(names.seal),
             stripped=HOP_BY_HOP | set_by_node,
         )
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -41,9 +41,12 @@
 """Time to send the leave message before the streams are closed."""
 
 
-def dissemination_lag_ms(pace_ms: float) -> float:
-    """Returns the time until peers have an update sent at a given interval."""
-    return math.ceil(pace_ms / TICK_MS) * TICK_MS + TRANSIT_MS
+def dissemination_lag_ms(interval_ms: float) -> float:
+    """Returns the time until peers have an update sent at a given interval.
+
+    Periodic updates are sent on ticks, so the interval is rounded up to one.
+    """
+    return math.ceil(interval_ms / TICK_MS) * TICK_MS + TRANSIT_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -50,9 +50,9 @@
             address=proxy_settings.split_address(context.settings.target),
             loop=context.loop,
         )
-        dialect = context.header_names
-        self.deadline_line = f"{dialect.deadline}: %d\r\n".encode()
-        self.expected_line = f"{dialect.expected}: %s\r\n".encode()
+        names = context.header_names
+        self.deadline_line = f"{names.deadline}: %d\r\n".encode()
+        self.expected_line = f"{names.expected}: %s\r\n".encode()
         self.speed = speed.Speed()
 
     def reset(self) -> None:
