--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -326,13 +326,13 @@
             and now - self.heard_at > PROBE_AFTER_MS
         )
 
-    def is_quiet(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Returns whether a probe was not answered within `UNRESPONSIVE_MS`."""
         return bool(self.asked_at) and now - self.asked_at > UNRESPONSIVE_MS
 
     def log_unresponsive(self, now: float) -> None:
         """Logs when the peer becomes unresponsive, and when it recovers."""
-        if self.is_quiet(now) == self.logged_unresponsive:
+        if self.is_unresponsive(now) == self.logged_unresponsive:
             return
         self.logged_unresponsive = not self.logged_unresponsive
         self.context.log.event(
--- a/src/currantcart/proxy/streams/reachability.py
+++ b/src/currantcart/proxy/streams/reachability.py
@@ -75,9 +75,9 @@
             if target is self.own:
                 found.append(target)
             elif target.ready and (outgoing := self.link_to(target.instance)):
-                (unresponsive if outgoing.is_quiet(now) else found).append(
-                    target
-                )
+                (
+                    unresponsive if outgoing.is_unresponsive(now) else found
+                ).append(target)
         if not any(target.ready for target in found):
             found += unresponsive
         self.reachable_cache[service] = (now, found)
