--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -165,7 +165,7 @@
     def refresh_local_target(self) -> None:
         """Updates the local target's routing state from the local guard."""
         assert self.peers is not None
-        self.peers.take_target(self.peers.own, self.guard.state())
+        self.peers.update_target(self.peers.own, self.guard.state())
 
     # Results.
 
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -300,14 +300,14 @@
         peer.heard_at = self.context.now
         peer.has_reported = True
         peer.version = status.version
-        self.take_target(peer.target, status.target)
+        self.update_target(peer.target, status.target)
         self.on_status(peer, item, status)
         if not item.dialled:
             # The dialler sets the pace. Its status is answered at once, from
             # which both sides measure the round-trip time.
             item.send(self.status(item))
 
-    def take_target(
+    def update_target(
         self, known: picker.Target, state: frames.TargetState
     ) -> None:
         """Applies a target's reported state."""
