--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -142,7 +142,7 @@
         self.by_service[member.service].remove(peer.target)
         peer.restart(member)
         self.by_service[member.service].append(peer.target)
-        self.reachability.forget()
+        self.reachability.invalidate()
         self.context.log.event(
             "peer_restarted", peer=member.instance, process=member.process
         )
@@ -250,7 +250,7 @@
 
     def link_introduced(self, item: link.Link) -> None:
         """Assigns a stream to the peer that was introduced on it."""
-        self.reachability.forget()
+        self.reachability.invalidate()
         assert item.peer is not None
         peer = self.identify_peer(item.peer, item)
         if peer is None:
@@ -282,7 +282,7 @@
 
     def link_lost(self, item: link.Link) -> None:
         """Detaches a lost stream from its peer."""
-        self.reachability.forget()
+        self.reachability.invalidate()
         self.accepted.discard(item)
         for peer in self.by_instance.values():
             if peer.outgoing is item:
@@ -312,7 +312,7 @@
     ) -> None:
         """Applies a target's reported state."""
         if known.target_id != state.target_id or known.ready != state.ready:
-            self.reachability.forget()
+            self.reachability.invalidate()
             self.context.log.event(
                 "target_state",
                 peer=known.instance,
--- a/src/currantcart/proxy/streams/reachability.py
+++ b/src/currantcart/proxy/streams/reachability.py
@@ -53,7 +53,7 @@
         self.pressure_cache: dict[str, tuple[float, pressure.Pressure]] = {}
         self.reachable_cache: dict[str, tuple[float, list[picker.Target]]] = {}
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Invalidates cached results after a change of a target or stream."""
         self.reachable_cache.clear()
 
--- a/tests/proxy/requests/test_outcomes.py
+++ b/tests/proxy/requests/test_outcomes.py
@@ -339,7 +339,7 @@
     assert found is not None
     found.asked_at = mesh.clock.now() - 300.0
     assert found.is_unresponsive(mesh.clock.now())
-    front.node.peers.reachability.forget()
+    front.node.peers.reachability.invalidate()
     reached = front.node.peers.reachability.reachable("grades")
     assert "b" in [target.instance for target in reached]
     assert (await mesh.ask(front, fake_mesh.request())).status == 200
