--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -73,7 +73,7 @@
         Returns 0 until the store has named them.
         """
         assert self.peers is not None
-        if not self.peers.named:
+        if not self.peers.members_listed:
             return 0
         return len(self.peers.by_instance) + 1
 
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -25,7 +25,7 @@
       member: This node.
       by_instance: Peers by instance.
       by_service: Targets of each service, including the local one.
-      named: Whether the store has once listed all nodes.
+      members_listed: Whether the store has once listed all nodes.
       own: The local target, as the router sees it.
       accepted: Streams that were dialled by peers.
       reachability: Targets that can be reached, and their pressure.
@@ -70,7 +70,7 @@
         self.by_service: dict[str, list[picker.Target]] = {
             settings.service: [self.own]
         }
-        self.named = False
+        self.members_listed = False
         self.accepted: set[link.Link] = set()
         self.left: dict[str, tuple[str, int]] = {}
         self.reachability = reachability.Reachability(
@@ -175,7 +175,7 @@
           members: The members found in the store.
           complete: Whether they include all live nodes.
         """
-        self.named = self.named or complete
+        self.members_listed = self.members_listed or complete
         listed = {member.instance: member for member in members}
         for member in listed.values():
             known = self.by_instance.get(member.instance)
