--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -69,7 +69,9 @@
             as_of_ms=floor_ms(known.as_of),
             target=self.guard.state(),
             counts=item.unpublished(self.quotas.counts()),
-            left=self.peers.left.get(item.peer.instance) if item.peer else None,
+            left=self.peers.leaving_targets.get(item.peer.instance)
+            if item.peer
+            else None,
         )
 
     def apply_status(
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -29,8 +29,8 @@
       own: The local target, as the router sees it.
       accepted: Streams that were dialled by peers.
       reachability: Targets that can be reached, and their pressure.
-      left: Id and start time of targets that were reported as leaving, by
-        instance.
+      leaving_targets: Id and start time of targets that were reported as
+        leaving, by instance.
       publisher: Sends this node's state at its pace.
     """
 
@@ -72,7 +72,7 @@
         }
         self.members_listed = False
         self.accepted: set[link.Link] = set()
-        self.left: dict[str, tuple[str, int]] = {}
+        self.leaving_targets: dict[str, tuple[str, int]] = {}
         self.reachability = reachability.Reachability(
             context,
             own=self.own,
@@ -321,7 +321,7 @@
                 limit=state.limit,
             )
         if state.leaving:
-            self.left[known.instance] = (state.target_id, state.born)
+            self.leaving_targets[known.instance] = (state.target_id, state.born)
         known.target_id = state.target_id
         known.ready = state.ready
         known.cold_until = self.context.now + state.cold_ms
