--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -139,7 +139,7 @@
             on_counts=self.statuses.apply_counts,
             expedited=self.quotas.expedited,
         )
-        self.silence = silence.Silence(
+        self.silence = silence.SilenceDetector(
             context,
             peers=self.peers.by_instance.values,
             status=self.statuses.status_for,
--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -63,7 +63,7 @@
         return False
 
 
-class Silence:
+class SilenceDetector:
     """Detects peers and failure domains that do not answer.
 
     Attributes:
