--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -82,7 +82,7 @@
         if status.left and self.record.hear_left(*status.left):
             self.guard.mark_target_leaving()
             self.on_target_left()
-        self.feed.status_heard(peer, item, status)
+        self.feed.handle_status(peer, item, status)
         self.apply_counts(peer, status.counts)
 
     def apply_counts(
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -183,7 +183,7 @@
         self.on_change()
         return True
 
-    def status_heard(
+    def handle_status(
         self, peer: peer_module.Peer, item: link.Link, status: frames.Status
     ) -> None:
         """Compares a peer's version with the local one.
