--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -131,7 +131,7 @@
             context,
             status=self.statuses.status_for,
             on_status=self.statuses.apply_status,
-            on_config=self.feed.config_heard,
+            on_config=self.feed.handle_config,
             on_fetch=self.feed.exchange.fetch_heard,
             on_call_frame=self.handle_call_frame,
             on_lost=self.handle_link_lost,
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -201,7 +201,7 @@
         elif status.version > known.version:
             self.exchange.handle_newer_version(item)
 
-    def config_heard(self, item: link.Link, config: frames.Config) -> None:
+    def handle_config(self, item: link.Link, config: frames.Config) -> None:
         """Applies a configuration that a peer has sent, and forwards it."""
         as_of = freshness.NEVER
         if item.ready:
