--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -132,7 +132,7 @@
             status=self.statuses.status_for,
             on_status=self.statuses.apply_status,
             on_config=self.feed.handle_config,
-            on_fetch=self.feed.exchange.fetch_heard,
+            on_fetch=self.feed.exchange.handle_fetch,
             on_call_frame=self.handle_call_frame,
             on_lost=self.handle_link_lost,
             on_gone=lambda peer: self.quotas.forget(peer.member.process),
--- a/src/currantcart/proxy/streams/config_exchange.py
+++ b/src/currantcart/proxy/streams/config_exchange.py
@@ -131,7 +131,7 @@
             self.fetched_at = now
             item.send(frames.Fetch())
 
-    def fetch_heard(self, item: link.Link) -> None:
+    def handle_fetch(self, item: link.Link) -> None:
         """Sends the configuration to a peer that requests it."""
         assert self.peers is not None
         peer = self.peers.peer_of(item)
