--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -155,7 +155,7 @@
             prefix=deployment.nodes_prefix,
             member=self.peers.member,
             record=self.record,
-            on_members=self.peers.still_named,
+            on_members=self.peers.update_members,
             on_restored=lambda: self.reports.apply_restored(),
             peer_count=lambda: len(self.peers.by_instance),
         )
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -162,7 +162,7 @@
         )
         self.on_gone(peer)
 
-    def still_named(
+    def update_members(
         self, members: Iterable[frames.Member], complete: bool
     ) -> None:
         """Adds the members found in the store, and removes silent others.
