--- a/src/currantcart/proxy/streams/registration.py
+++ b/src/currantcart/proxy/streams/registration.py
@@ -307,7 +307,7 @@
         self.record.restore(report)
         self.on_restored()
 
-    async def guarded_write(self) -> None:
+    async def try_write(self) -> None:
         """Writes the entry, and records whether the store is reachable."""
         await self.try_call(self.write())
 
@@ -351,4 +351,4 @@
     async def end(self) -> None:
         """Writes pending changes of the entry for the next process."""
         if self.dirty:
-            await self.guarded_write()
+            await self.try_write()
--- a/src/currantcart/proxy/targets/target_reports.py
+++ b/src/currantcart/proxy/targets/target_reports.py
@@ -118,7 +118,7 @@
 
         The write continues in the background after that.
         """
-        work = self.context.loop.create_task(self.registration.guarded_write())
+        work = self.context.loop.create_task(self.registration.try_write())
         self.hold(work)
         await asyncio.wait([work], timeout=PERSIST_SECONDS_MAX)
 
