--- a/src/currantcart/platform/names.py
+++ b/src/currantcart/platform/names.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from currantcart.proxy import dialect
+from currantcart.proxy import header_names
 
-DIALECT = dialect.Dialect(
+HEADER_NAMES = header_names.HeaderNames(
     request_id="Currantcart-Request-Id",
     deadline="Currantcart-Deadline-Ms",
     workspace="Currantcart-Tenant",
--- a/src/currantcart/proxy/context.py
+++ b/src/currantcart/proxy/context.py
@@ -9,7 +9,7 @@
 from currantcart import clock as clock_module
 from currantcart.catalog import model as catalog_model
 from currantcart.fleet import freshness
-from currantcart.proxy import dialect as dialect_module
+from currantcart.proxy import header_names as header_names_module
 from currantcart.proxy import settings as proxy_settings
 from currantcart.telemetry import counts, decisions
 
@@ -20,7 +20,7 @@
 
     Attributes:
       settings: Settings in force.
-      dialect: Header names of the deployment.
+      header_names: Header names of the deployment.
       keys: The same names, in the form that parsers look up.
       process: Id of this process.
       clock: Clock of the node.
@@ -32,15 +32,15 @@
       freshness: How recently `catalog` was confirmed to be the newest version.
       draining: Whether the node shuts down: readiness fails, and callers'
         connections are closed after their next response.
-      closing: Whether the node rejects new requests of callers.
+      rejecting_callers: Whether the node rejects new requests of callers.
       leaving: Whether the node rejects new requests for its target.
-      pace_ms: Interval between two statuses on a stream, in milliseconds.
+      status_interval_ms: Time between two statuses on a stream.
       started_at: Start of this process, in milliseconds of the node's clock.
     """
 
     settings: proxy_settings.ProxySettings
-    dialect: dialect_module.Dialect
-    keys: dialect_module.HeaderKeys
+    header_names: header_names_module.HeaderNames
+    keys: header_names_module.HeaderKeys
     process: str
     clock: clock_module.Clock
     loop: asyncio.AbstractEventLoop
@@ -52,9 +52,9 @@
         default_factory=freshness.Freshness
     )
     draining: bool = False
-    closing: bool = False
+    rejecting_callers: bool = False
     leaving: bool = False
-    pace_ms: float = 400.0
+    status_interval_ms: float = 400.0
     started_at: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
--- a/src/currantcart/proxy/dialect.py
+++ b/src/currantcart/proxy/header_names.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dialect:
+class HeaderNames:
     """Header names, as written on the wire.
 
     Attributes:
@@ -57,11 +57,11 @@
     """Header names in lower case, for look-up in parsed heads.
 
     Attributes:
-      request_id: See `Dialect`.
-      deadline: See `Dialect`.
-      not_executed: See `Dialect`.
-      key: See `Dialect`.
-      seal: See `Dialect`.
+      request_id: See `HeaderNames`.
+      deadline: See `HeaderNames`.
+      not_executed: See `HeaderNames`.
+      key: See `HeaderNames`.
+      seal: See `HeaderNames`.
       stripped: Headers that are not forwarded: `HOP_BY_HOP` and those that
         the node sets itself.
     """
@@ -74,8 +74,8 @@
     stripped: frozenset[bytes]
 
     @classmethod
-    def of(cls, dialect: Dialect) -> HeaderKeys:
-        """Returns the keys of a dialect.
+    def of(cls, names: HeaderNames) -> HeaderKeys:
+        """Returns the keys for a deployment's header names.
 
         Headers that the node sets itself are stripped from callers' requests,
         because a target would trust them as set by the node.
@@ -85,17 +85,17 @@
             return name.lower().encode()
 
         set_by_node = {
-            lower(dialect.deadline),
-            lower(dialect.workspace),
-            lower(dialect.caller),
-            lower(dialect.expected),
-            lower(dialect.key),
+            lower(names.deadline),
+            lower(names.workspace),
+            lower(names.caller),
+            lower(names.expected),
+            lower(names.key),
         }
         return cls(
-            request_id=lower(dialect.request_id),
-            deadline=lower(dialect.deadline),
-            not_executed=lower(dialect.not_executed),
-            key=lower(dialect.key),
-            seal=lower(dialect.seal),
+            request_id=lower(names.request_id),
+            deadline=lower(names.deadline),
+            not_executed=lower(names.not_executed),
+            key=lower(names.key),
+            seal=lower(names.seal),
             stripped=HOP_BY_HOP | set_by_node,
         )
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -41,9 +41,12 @@
 """Time to send the leave message before the streams are closed."""
 
 
-def heard_after_ms(pace_ms: float) -> float:
-    """Returns the time until peers have an update sent at a given interval."""
-    return math.ceil(pace_ms / TICK_MS) * TICK_MS + TRANSIT_MS
+def dissemination_lag_ms(interval_ms: float) -> float:
+    """Returns the time until peers have an update sent at a given interval.
+
+    Periodic updates are sent on ticks, so the interval is rounded up to one.
+    """
+    return math.ceil(interval_ms / TICK_MS) * TICK_MS + TRANSIT_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -100,7 +103,7 @@
         self.callers = frontend.CallerServer(
             context,
             checks=intake.Intake(
-                names=context.dialect,
+                names=context.header_names,
                 service=settings.service,
                 revoke_ms=settings.bounds.revoke_seconds * 1_000,
                 quotas=self.quotas,
@@ -128,22 +131,22 @@
             context,
             status=self.statuses.status_for,
             on_status=self.statuses.apply_status,
-            on_config=self.feed.config_heard,
-            on_fetch=self.feed.exchange.fetch_heard,
+            on_config=self.feed.handle_config,
+            on_fetch=self.feed.exchange.handle_fetch,
             on_call_frame=self.handle_call_frame,
             on_lost=self.handle_link_lost,
             on_gone=lambda peer: self.quotas.forget(peer.member.process),
             on_counts=self.statuses.apply_counts,
             expedited=self.quotas.expedited,
         )
-        self.silence = silence.Silence(
+        self.silence = silence.SilenceDetector(
             context,
             peers=self.peers.by_instance.values,
             status=self.statuses.status_for,
         )
         self.outbound.peers = self.peers
         self.statuses.peers = self.peers
-        self.guard.called_pressure = self.outbound.edge.called_pressure
+        self.guard.called_pressure = self.outbound.ingress.called_pressure
         self.feed.peers = self.peers
         self.feed.exchange.peers = self.peers
         self.registration = registration.Registration(
@@ -152,7 +155,7 @@
             prefix=deployment.nodes_prefix,
             member=self.peers.member,
             record=self.record,
-            on_members=self.peers.still_named,
+            on_members=self.peers.update_members,
             on_restored=lambda: self.reports.apply_restored(),
             peer_count=lambda: len(self.peers.by_instance),
         )
@@ -172,7 +175,7 @@
             hold=self.background.hold,
         )
         self.state_log = state_log.StateLog(
-            context, quotas=self.quotas, budgets=self.outbound.repeats.budgets
+            context, quotas=self.quotas, budgets=self.outbound.retries.budgets
         )
         self.stopping = asyncio.Event()
         self.discovered = asyncio.Event()
@@ -184,7 +187,7 @@
     def handle_call_frame(self, item: link.Link, frame: frames.Frame) -> None:
         """Dispatches a call frame to the outbound or the inbound side."""
         if item.dialled:
-            self.outbound.attempts.frame(item, frame)
+            self.outbound.attempts.handle_frame(item, frame)
         else:
             self.inbound.handle_frame(item, frame)
 
@@ -244,12 +247,12 @@
             "rates_exhausted": lambda: len(self.state_log.over_rate),
             "budgets_exhausted": lambda: len(self.state_log.spent),
             "retry_budget_nodes": lambda: (
-                self.outbound.repeats.fixed_part.nodes
+                self.outbound.retries.fixed_part.nodes
             ),
-            "retry_budget_nodes_age_seconds": self.outbound.repeats.nodes_age,
+            "retry_budget_nodes_age_seconds": self.outbound.retries.nodes_age,
             "log_bytes_dropped": lambda: self.context.log.dropped_bytes,
         }
-        self.context.counts.service_gauges = self.outbound.repeats.gauges()
+        self.context.counts.service_gauges = self.outbound.retries.gauges()
 
     # Start and periodic work.
 
@@ -321,18 +324,18 @@
         self.ticks += 1
         if self.guard.update_gauge():
             self.peers.publish()
-        self.outbound.refresh_own()
+        self.outbound.refresh_local_target()
         self.peers.tick()
         self.feed.tick()
-        self.outbound.repeats.note_fleet()
+        self.outbound.retries.record_fleet_size()
         now = self.context.now
         self.silence.tick(asking=bool(self.quotas.expedited()))
         self.quotas.set_silent(self.silence.share(), now)
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
             nodes=peer_count + 1,
-            lag_ms=heard_after_ms(self.context.pace_ms),
-            expedited_lag_ms=heard_after_ms(
+            lag_ms=dissemination_lag_ms(self.context.status_interval_ms),
+            expedited_lag_ms=dissemination_lag_ms(
                 publisher.counts_pace_ms(peer_count)
             ),
         )
@@ -351,7 +354,7 @@
         before = self.context.settings
         self.context.settings = settings
         self.callers.intake.revoke_ms = settings.bounds.revoke_seconds * 1e3
-        self.outbound.repeats.use_bounds(settings.bounds)
+        self.outbound.retries.use_bounds(settings.bounds)
         self.context.log.event(
             "settings_read",
             changed=settings != before,
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -25,11 +25,11 @@
         context: proxy_context.Context,
         *,
         own_guard: guard.Guard,
-        outcomes: local_reply.AttemptHandler,
+        handler: local_reply.AttemptHandler,
     ) -> None:
         self.context = context
         self.guard = own_guard
-        self.outcomes = outcomes
+        self.handler = handler
 
     # Sending.
 
@@ -65,16 +65,16 @@
             head=request.head,
             body=request.body,
             more=0,
-            age_ms=now - request.begun_at,
+            age_ms=now - request.head_received_at,
             repeated=call.lineage.repeated or call.handed_to_targets > 0,
         )
 
     def hand_to_local(self, call: call_module.Call, now: float) -> None:
         """Sends a request to the local guard."""
         self.apply_event(call, attempt.Event.HAND_OVER)
-        reply = call.local_reply = local_reply.LocalReply(self.outcomes, call)
+        reply = call.local_reply = local_reply.LocalReply(self.handler, call)
         opening = self.opening(call, 0, now)
-        job = self.guard.arrive(
+        job = self.guard.submit(
             opening, expires_at=now + opening.left_ms, reply=reply
         )
         if call.local_reply is reply:
@@ -83,17 +83,17 @@
             call.job = job
 
     def hand_to_peer(
-        self, call: call_module.Call, found: link.Link, now: float
+        self, call: call_module.Call, peer_link: link.Link, now: float
     ) -> None:
         """Sends a request to a peer's guard."""
         self.apply_event(call, attempt.Event.HAND_OVER)
-        call.link, call.number = found, next(found.numbers)
-        found.calls[call.number] = call
+        call.link, call.number = peer_link, next(peer_link.numbers)
+        peer_link.calls[call.number] = call
         opening = self.opening(call, call.number, now)
         body = opening.body
         opening.body, opening.more = frames.first_chunk(body)
-        found.send(opening)
-        frames.send_rest(call.number, body, found.send)
+        peer_link.send(opening)
+        frames.send_rest(call.number, body, peer_link.send)
 
     # Results.
 
@@ -105,12 +105,12 @@
         call.outcomes[-1] = outcome
         return outcome
 
-    def frame(self, found: link.Link, frame: frames.Frame) -> None:
+    def handle_frame(self, peer_link: link.Link, frame: frames.Frame) -> None:
         """Handles a frame of a call that this node opened."""
         assert isinstance(
             frame, frames.Answer | frames.Refuse | frames.Lost | frames.Data
         )
-        call = found.calls.get(frame.call)
+        call = peer_link.calls.get(frame.call)
         if not isinstance(call, call_module.Call) or call.done:
             return
         if isinstance(frame, frames.Data):
@@ -123,14 +123,14 @@
         if isinstance(frame, frames.Answer):
             self.handle_answer(call, frame)
         elif isinstance(frame, frames.Refuse):
-            self.outcomes.refused(
+            self.handler.refused(
                 call,
                 frame.code,
                 at_target=frame.at_target,
                 retry_after_ms=frame.retry_after_ms,
             )
         else:
-            self.outcomes.lost(call, frame.code)
+            self.handler.lost(call, frame.code)
 
     def handle_answer(
         self, call: call_module.Call, answer: frames.Answer
@@ -140,9 +140,7 @@
             call.partial_answer, call.missing = answer, answer.more
             call.chunks.append(answer.body)
         else:
-            self.outcomes.answered(
-                call, answer.status, answer.head, answer.body
-            )
+            self.handler.answered(call, answer.status, answer.head, answer.body)
 
     def handle_chunk(self, call: call_module.Call, chunk: bytes) -> None:
         """Handles a further part of an answer."""
@@ -153,7 +151,7 @@
         call.missing -= len(chunk)
         if call.missing <= 0:
             body = b"".join(call.chunks)
-            self.outcomes.answered(call, partial.status, partial.head, body)
+            self.handler.answered(call, partial.status, partial.head, body)
 
     # Ending.
 
@@ -184,9 +182,9 @@
             self.apply_event(call, attempt.Event.LOSE)
         self.end_attempt(call, failed=False)
 
-    def link_lost(self, found: link.Link) -> None:
+    def link_lost(self, peer_link: link.Link) -> None:
         """Marks the attempts on a lost stream as lost."""
-        calls, found.calls = found.calls, {}
+        calls, peer_link.calls = peer_link.calls, {}
         for call in calls.values():
-            if isinstance(call, call_module.Call) and call.link is found:
-                self.outcomes.lost(call, "peer_lost")
+            if isinstance(call, call_module.Call) and call.link is peer_link:
+                self.handler.lost(call, "peer_lost")
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -8,9 +8,15 @@
 from currantcart.call import attempt, lineage
 from currantcart.http1 import status as status_module
 from currantcart.proxy import context as proxy_context
-from currantcart.proxy.requests import attempts, edge, endings, intake, parking
+from currantcart.proxy.requests import (
+    attempts,
+    completion,
+    ingress,
+    intake,
+    pending,
+)
 from currantcart.proxy.requests import call as call_module
-from currantcart.proxy.requests import repeats as repeats_module
+from currantcart.proxy.requests import retries as retries_module
 from currantcart.proxy.streams import peers as peers_module
 from currantcart.proxy.targets import guard
 from currantcart.routing import picker
@@ -26,10 +32,10 @@
 
     Attributes:
       calls: Requests that have not ended.
-      edge: Sheds root requests when services further down are saturated.
+      ingress: Sheds root requests when services further down are saturated.
       attempts: Sends requests to guards.
       pending: Requests that wait until a target is known.
-      repeats: Decides which requests are retried.
+      retries: Decides which requests are retried.
     """
 
     def __init__(
@@ -50,12 +56,14 @@
             rng=context.rng,
         )
         self.calls: set[call_module.Call] = set()
-        self.edge = edge.IngressShedder(context, pressure_on=self.pressure_on)
+        self.ingress = ingress.IngressShedder(
+            context, pressure_on=self.pressure_on
+        )
         self.attempts = attempts.Attempts(
-            context, own_guard=own_guard, outcomes=self
+            context, own_guard=own_guard, handler=self
         )
-        self.pending = parking.PendingRequests(context, dispatch=self.dispatch)
-        self.repeats = repeats_module.Retries(
+        self.pending = pending.PendingRequests(context, dispatch=self.dispatch)
+        self.retries = retries_module.Retries(
             context, node_count=self.node_count
         )
 
@@ -65,7 +73,7 @@
         Returns 0 until the store has named them.
         """
         assert self.peers is not None
-        if not self.peers.named:
+        if not self.peers.members_listed:
             return 0
         return len(self.peers.by_instance) + 1
 
@@ -87,7 +95,7 @@
         service = route.pick_service(self.context.rng)
         left = min(request.deadline_ms, route.timeout_ms)
         call = call_module.Call(
-            request, service, answer, now, request.begun_at + left
+            request, service, answer, now, request.head_received_at + left
         )
         self.calls.add(call)
         if call.expires_at - now < guard.LATE_MS:
@@ -95,11 +103,11 @@
             return None
         self.set_lineage(call)
         if request.internal:
-            self.edge.record_called(service)
-        elif by := self.edge.shed_by(call):
+            self.ingress.record_called(service)
+        elif by := self.ingress.shed_by(call):
             self.reject(call, f"shed_for_{by}")
             return None
-        if not self.repeats.admit(call):
+        if not self.retries.admit(call):
             self.reject(call, "retry_budget_exhausted")
             return None
         call.timer = self.context.loop.call_later(
@@ -129,7 +137,7 @@
         assert self.peers is not None
         now = self.context.now
         if call.service == self.peers.own.service:
-            self.refresh_own()
+            self.refresh_local_target()
         targets = self.peers.reachability.candidates(call.service)
         chosen = self.picker.choose(
             targets,
@@ -145,19 +153,19 @@
         if chosen is self.peers.own:
             self.attempts.hand_to_local(call, now)
             return
-        found = self.peers.link_to(chosen.instance)
-        if found is None:
+        peer_link = self.peers.link_to(chosen.instance)
+        if peer_link is None:
             # Its stream became silent after the candidates were listed.
             self.attempts.apply_event(call, attempt.Event.LOSE)
             self.attempts.end_attempt(call, failed=False)
             self.dispatch(call)
             return
-        self.attempts.hand_to_peer(call, found, now)
+        self.attempts.hand_to_peer(call, peer_link, now)
 
-    def refresh_own(self) -> None:
+    def refresh_local_target(self) -> None:
         """Updates the local target's routing state from the local guard."""
         assert self.peers is not None
-        self.peers.take_target(self.peers.own, self.guard.state())
+        self.peers.update_target(self.peers.own, self.guard.state())
 
     # Results.
 
@@ -167,14 +175,14 @@
         """Ends a request with its target's answer."""
         failed = status >= status_module.SERVER_ERROR
         self.attempts.apply_event(call, attempt.Event.ANSWER)
-        endings.count_end(self.context, call, f"{status // 100}xx")
+        completion.count_end(self.context, call, f"{status // 100}xx")
         self.attempts.end_attempt(call, failed=failed)
         self.remove(call)
-        self.edge.record_end(call, failed=failed)
+        self.ingress.record_end(call, failed=failed)
         if failed:
             self.log_end(call, "target_failed", status)
         else:
-            endings.log_answer(self.context, call, status)
+            completion.log_answer(self.context, call, status)
         call.answer(status, head, body)
 
     def refused(
@@ -225,7 +233,7 @@
     def retry(self, call: call_module.Call) -> None:
         """Sends a request to another target, if route and budget allow."""
         call.handed_to_targets += 1
-        if self.repeats.take_retry(call):
+        if self.retries.take_retry(call):
             self.dispatch(call)
         else:
             self.give_up(call)
@@ -267,7 +275,7 @@
         A request that did not run returns its token of the workspace's rate
         limit.
         """
-        endings.count_end(self.context, call, code)
+        completion.count_end(self.context, call, code)
         self.remove(call)
         self.log_end(call, code, status)
         not_run = all(
@@ -283,7 +291,7 @@
         """Logs a request that failed, with the targets that were known."""
         assert self.peers is not None
         known = self.peers.by_service.get(call.service, [])
-        endings.log_end(
+        completion.log_end(
             self.context, call, code=code, status=status, known=known
         )
 
@@ -298,7 +306,7 @@
     def cancel(self, call: call_module.Call) -> None:
         """Cancels a request whose caller has disconnected."""
         if not call.done:
-            endings.count_end(self.context, call, "caller_left")
-            endings.log_left(self.context, call)
+            completion.count_end(self.context, call, "caller_left")
+            completion.log_left(self.context, call)
             self.attempts.cancel(call)
             self.remove(call)
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -183,7 +183,7 @@
         self.on_change()
         return True
 
-    def status_heard(
+    def handle_status(
         self, peer: peer_module.Peer, item: link.Link, status: frames.Status
     ) -> None:
         """Compares a peer's version with the local one.
@@ -201,7 +201,7 @@
         elif status.version > known.version:
             self.exchange.handle_newer_version(item)
 
-    def config_heard(self, item: link.Link, config: frames.Config) -> None:
+    def handle_config(self, item: link.Link, config: frames.Config) -> None:
         """Applies a configuration that a peer has sent, and forwards it."""
         as_of = freshness.NEVER
         if item.ready:
--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -326,13 +326,13 @@
             and now - self.heard_at > PROBE_AFTER_MS
         )
 
-    def is_quiet(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Returns whether a probe was not answered within `UNRESPONSIVE_MS`."""
         return bool(self.asked_at) and now - self.asked_at > UNRESPONSIVE_MS
 
     def log_unresponsive(self, now: float) -> None:
         """Logs when the peer becomes unresponsive, and when it recovers."""
-        if self.is_quiet(now) == self.logged_unresponsive:
+        if self.is_unresponsive(now) == self.logged_unresponsive:
             return
         self.logged_unresponsive = not self.logged_unresponsive
         self.context.log.event(
@@ -349,17 +349,17 @@
         may be queued for seconds while the opposite direction is clear. The
         peer's echo of a recent status shows that it is not.
         """
-        limit = suspect_ms(self.context.pace_ms)
+        limit = suspect_ms(self.context.status_interval_ms)
         return (
             self.ready
             and self.transport is not None
             and now - self.heard_at < limit
-            and now - self.echoed_at < limit + self.context.pace_ms
+            and now - self.echoed_at < limit + self.context.status_interval_ms
         )
 
     def check(self, now: float) -> None:
         """Closes the stream if it is silent or a probe has timed out."""
-        pace = self.context.pace_ms
+        pace = self.context.status_interval_ms
         silent = now - self.heard_at > silent_ms(pace)
         unanswered = bool(
             self.asked_at
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -25,12 +25,12 @@
       member: This node.
       by_instance: Peers by instance.
       by_service: Targets of each service, including the local one.
-      named: Whether the store has once listed all nodes.
+      members_listed: Whether the store has once listed all nodes.
       own: The local target, as the router sees it.
       accepted: Streams that were dialled by peers.
       reachability: Targets that can be reached, and their pressure.
-      left: Id and start time of targets that were reported as leaving, by
-        instance.
+      leaving_targets: Id and start time of targets that were reported as
+        leaving, by instance.
       publisher: Sends this node's state at its pace.
     """
 
@@ -70,9 +70,9 @@
         self.by_service: dict[str, list[picker.Target]] = {
             settings.service: [self.own]
         }
-        self.named = False
+        self.members_listed = False
         self.accepted: set[link.Link] = set()
-        self.left: dict[str, tuple[str, int]] = {}
+        self.leaving_targets: dict[str, tuple[str, int]] = {}
         self.reachability = reachability.Reachability(
             context,
             own=self.own,
@@ -142,7 +142,7 @@
         self.by_service[member.service].remove(peer.target)
         peer.restart(member)
         self.by_service[member.service].append(peer.target)
-        self.reachability.forget()
+        self.reachability.invalidate()
         self.context.log.event(
             "peer_restarted", peer=member.instance, process=member.process
         )
@@ -162,7 +162,7 @@
         )
         self.on_gone(peer)
 
-    def still_named(
+    def update_members(
         self, members: Iterable[frames.Member], complete: bool
     ) -> None:
         """Adds the members found in the store, and removes silent others.
@@ -175,7 +175,7 @@
           members: The members found in the store.
           complete: Whether they include all live nodes.
         """
-        self.named = self.named or complete
+        self.members_listed = self.members_listed or complete
         listed = {member.instance: member for member in members}
         for member in listed.values():
             known = self.by_instance.get(member.instance)
@@ -190,7 +190,7 @@
     def is_alive(self, peer: peer_module.Peer) -> bool:
         """Returns whether a peer is not silent."""
         silence = self.context.now - peer.heard_at
-        return silence < link.silent_ms(self.context.pace_ms)
+        return silence < link.silent_ms(self.context.status_interval_ms)
 
     def rank(self) -> int:
         """Returns this node's rank among the live nodes, from 0.
@@ -250,7 +250,7 @@
 
     def link_introduced(self, item: link.Link) -> None:
         """Assigns a stream to the peer that was introduced on it."""
-        self.reachability.forget()
+        self.reachability.invalidate()
         assert item.peer is not None
         peer = self.identify_peer(item.peer, item)
         if peer is None:
@@ -282,7 +282,7 @@
 
     def link_lost(self, item: link.Link) -> None:
         """Detaches a lost stream from its peer."""
-        self.reachability.forget()
+        self.reachability.invalidate()
         self.accepted.discard(item)
         for peer in self.by_instance.values():
             if peer.outgoing is item:
@@ -300,19 +300,19 @@
         peer.heard_at = self.context.now
         peer.has_reported = True
         peer.version = status.version
-        self.take_target(peer.target, status.target)
+        self.update_target(peer.target, status.target)
         self.on_status(peer, item, status)
         if not item.dialled:
             # The dialler sets the pace. Its status is answered at once, from
             # which both sides measure the round-trip time.
             item.send(self.status(item))
 
-    def take_target(
+    def update_target(
         self, known: picker.Target, state: frames.TargetState
     ) -> None:
         """Applies a target's reported state."""
         if known.target_id != state.target_id or known.ready != state.ready:
-            self.reachability.forget()
+            self.reachability.invalidate()
             self.context.log.event(
                 "target_state",
                 peer=known.instance,
@@ -321,7 +321,7 @@
                 limit=state.limit,
             )
         if state.leaving:
-            self.left[known.instance] = (state.target_id, state.born)
+            self.leaving_targets[known.instance] = (state.target_id, state.born)
         known.target_id = state.target_id
         known.ready = state.ready
         known.cold_until = self.context.now + state.cold_ms
