--- a/src/currantcart/node/admin.py
+++ b/src/currantcart/node/admin.py
@@ -1,4 +1,4 @@
-"""Admin HTTP of one node: metrics, status and explanations."""
+"""Admin HTTP of one node: metrics, status, readiness and decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Shown(Protocol):
-    """A node as this page shows it."""
+    """The state of a node that the admin pages show."""
 
     context: node_context.NodeContext
     guard: guard.Guard
@@ -22,11 +22,11 @@
     gossip: gossip.Gossip
 
     def is_ready(self) -> bool:
-        """Tells whether the node serves."""
+        """Returns whether the node is ready to serve calls."""
 
 
 def status_of(node: Shown) -> dict[str, object]:
-    """Returns the state of a node as people ask for it."""
+    """Returns the state of a node for the status page."""
     context, admission = node.context, node.guard.admission
     pool = node.guard.pool
     now = context.clock.now()
--- a/src/currantcart/node/app.py
+++ b/src/currantcart/node/app.py
@@ -1,4 +1,4 @@
-"""One node: start, life, graceful shutdown."""
+"""One node: composition, start, event handling and shutdown."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
 
     Attributes:
       context: Shared state.
-      guard: The target's guard.
+      guard: Controls all access to the target.
       members: The member table.
-      stopping: Set when a shutdown was asked for.
+      stopping: Set when a shutdown was requested.
+      hurry: Set when it was requested again, which ends the draining.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
         self.add_gauges()
 
     def add_gauges(self) -> None:
-        """Adds the gauges that read this node's state."""
+        """Registers the gauges that read this node's state."""
         admission, clock = self.guard.admission, self.context.clock
         gauge = self.context.metrics.gauge
         gauge("running", "Calls at the target", lambda: admission.running)
@@ -123,16 +124,16 @@
             lambda: len(self.members.entries),
         )
 
-    # Streams between nodes: the interface `connection.Service`.
+    # Events of streams between nodes: implements `connection.Service`.
 
     def opened(self, stream: connection.Connection) -> None:
-        """Uses a stream that a peer dialled for calls to it as well."""
+        """Registers a stream that a peer dialled, for calls to that peer."""
         self.links.streams.setdefault(stream.peer, stream)
 
     def call_arrived(
         self, opening: messages.Open, call: call_stream.CallStream
     ) -> None:
-        """Takes a call from a peer."""
+        """Passes a call from a peer to the guard."""
         self.guard.arrive(opening, call)
 
     def state_message(
@@ -140,7 +141,7 @@
         message: messages.Fetch | messages.State,
         stream: connection.Connection,
     ) -> None:
-        """Takes a message about configuration and members."""
+        """Processes a message about configuration and members."""
         self.distributor.state_message(message, stream)
         self.gossip.check_news()
 
@@ -149,13 +150,13 @@
         message: messages.Ask | messages.Give,
         stream: connection.Connection,
     ) -> None:
-        """Takes a message about workspaces' rates."""
+        """Processes a message about the rates of workspaces."""
         self.rates.message(message, stream)
 
     def closed(
         self, stream: connection.Connection, error: Exception | None
     ) -> None:
-        """Drops a stream that has ended."""
+        """Removes a stream that has ended; counts and logs its error."""
         self.links.forget(stream)
         if isinstance(error, errors.StreamError):
             self.context.metrics.streams.labels(error.code).inc()
@@ -167,10 +168,10 @@
                 detail=error.detail,
             )
 
-    # Reactions to change.
+    # Changes of configuration and members.
 
     def configuration_changed(self) -> None:
-        """Takes the workspaces of a new revision, and announces it."""
+        """Applies the workspaces of a new revision and announces it."""
         view = self.context.config.require()
         self.context.limiter.configure(
             view.workspaces.values(), self.context.clock.now()
@@ -179,20 +180,20 @@
         self.gossip.spread_rumour()
 
     def members_changed(self) -> None:
-        """Lets the router know the members."""
+        """Updates the router with the current members."""
         self.context.router.update(
             self.members.members(), self.context.clock.now()
         )
 
     def is_ready(self) -> bool:
-        """Tells whether the node serves."""
+        """Returns whether the node is ready to serve calls."""
         return (
             self.context.config.view is not None
             and self.members.own.slots > 0
             and not self.context.draining
         )
 
-    # Life.
+    # Start and shutdown.
 
     async def start(self) -> None:
         """Opens all ports and starts the background tasks."""
@@ -232,22 +233,22 @@
         )
 
     def background_failed(self, error: Exception) -> None:
-        """Logs background work that failed, with its traceback."""
+        """Logs a background task that failed, with its traceback."""
         self.context.logger.error("background task failed", exc_info=error)
 
     def request_stop(self) -> None:
-        """Begins a graceful shutdown; asked again, ends it at once."""
+        """Starts a graceful shutdown; a second request ends it at once."""
         if self.stopping.is_set():
             self.hurry.set()
         self.stopping.set()
 
     def stop_listening(self) -> None:
-        """Takes no more callers' connections."""
+        """Stops accepting connections of callers."""
         if self.callers_server is not None:
             self.callers_server.close()
 
     async def stop(self) -> None:
-        """Closes everything."""
+        """Stops the background tasks and closes all connections and ports."""
         for task in list(self.background.tasks):
             task.cancel()
         await asyncio.gather(*self.background.tasks, return_exceptions=True)
@@ -266,7 +267,7 @@
 def own_member(
     settings: settings_model.Settings, started: int
 ) -> membership_model.Member:
-    """Returns what a starting node announces of itself."""
+    """Returns the entry that a starting node announces for itself."""
     return membership_model.Member(
         instance=settings.instance,
         incarnation=started,
--- a/src/currantcart/node/context.py
+++ b/src/currantcart/node/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""State that all components of one node share."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 @dataclasses.dataclass(slots=True)
 class NodeContext:
-    """State and tools of one node.
+    """State and services of one node.
 
     Attributes:
-      settings: Its settings.
-      clock: Time.
-      loop: The one loop.
-      rng: Random numbers for decisions.
+      settings: Settings of the node.
+      clock: Source of the time.
+      loop: Event loop on which everything runs.
+      rng: Source of random numbers for decisions.
       config: Configuration in force.
-      active: Calls that run at the target.
-      router: Targets of all services.
-      limiter: Rates of the workspaces.
-      throttle: What was learned about shedding.
-      budget: Retry ratio of this node.
+      active: Calls that are running at the target.
+      router: Selects targets of all services.
+      limiter: Rate limits of the workspaces.
+      throttle: Sheds calls at ingress, by the shedding levels received.
+      budget: Limits retries to a ratio of this node's first attempts.
       metrics: Metrics.
-      recorder: Record of decisions.
-      tracing: Spans.
-      logger: Logs.
-      isolation: When this node last heard from anyone.
+      recorder: Record of decisions on calls.
+      tracing: Spans and their export.
+      logger: Structured log.
+      isolation: When this node last received from a peer or the store.
       draining: Whether the node is leaving.
     """
 
--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -1,4 +1,4 @@
-"""Distribution of the configuration: few watchers, gossip, anti-entropy."""
+"""Distributes the configuration: store watches, gossip and anti-entropy."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 def rank(instance: str) -> int:
-    """Returns the place of an instance among its failure domain's watchers."""
+    """Returns the rank of an instance; the lowest of a domain are watchers."""
     return xxhash.xxh64_intdigest(instance.encode())
 
 
 def is_watcher(
     own: membership_model.Member, members: list[membership_model.Member]
 ) -> bool:
-    """Tells whether a node watches the store itself.
+    """Returns whether a node watches the store itself.
 
-    The lowest ranks of each failure domain do; so the store sees a number of
-    watches that does not grow with the fleet, and each domain keeps its own
-    way to the store when domains lose each other.
+    The nodes of the lowest ranks in each failure domain do. So the number of
+    watches does not grow with the fleet, and each domain still reaches the
+    store when failure domains are partitioned from each other.
     """
     peers = [
         member
@@ -51,11 +51,13 @@
 
 
 class Distributor:
-    """Brings each revision to this node, and on to others.
+    """Fetches new revisions of the configuration and serves them to peers.
 
     Attributes:
-      on_change: Called when a new revision is in force here.
-      store_calls: For the cost of control.
+      on_change: Called when a new revision is in force at this node.
+      fetching: The latest fetch from a peer; one runs at a time.
+      store_index: Index of the stored entry that was seen last.
+      store_calls: Watches sent to the store, as a measure of control traffic.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         self.store_calls = 0
 
     def offer(self, text: bytes, source: str) -> None:
-        """Takes a document if it is newer than what is in force."""
+        """Applies a document if its revision is newer than the one in force."""
         try:
             changed = self.context.config.offer(text)
         except errors.SettingsError as error:
@@ -94,14 +96,14 @@
             self.on_change()
 
     def fetch_from(self, instance: str, address: str) -> None:
-        """Asks a peer that knows more, one at a time."""
+        """Starts a fetch from a peer, unless one is running."""
         if self.fetching is None or self.fetching.done():
             self.fetching = self.context.loop.create_task(
                 self.fetch(instance, address)
             )
 
     async def fetch(self, instance: str, address: str) -> None:
-        """Asks a peer for its configuration and its members."""
+        """Requests the configuration and the members from a peer."""
         entry = self.members.entries.get(instance)
         try:
             if entry is not None:
@@ -117,7 +119,7 @@
         message: messages.Fetch | messages.State,
         stream: connection.Connection,
     ) -> None:
-        """Answers a peer that asks, or takes a peer's answer."""
+        """Answers a peer's fetch, or applies the state that a peer sent."""
         if isinstance(message, messages.Fetch):
             stream.send(self.state(message.revision))
             return
@@ -133,7 +135,7 @@
         self.members.merge_table(members, self.context.clock.now())
 
     def state(self, revision: int) -> messages.State:
-        """Returns what a peer that has a revision lacks."""
+        """Returns the state for a peer: a newer document, and all members."""
         view = self.context.config.view
         newer = view is not None and view.revision > revision
         return messages.State(
@@ -146,7 +148,10 @@
         )
 
     async def watch(self) -> None:
-        """Watches the store while this node ranks among the watchers."""
+        """Watches the store while this node is a watcher.
+
+        A node without a configuration watches it too, whatever its rank.
+        """
         while True:
             rank_high = is_watcher(self.members.own, self.members.members())
             if rank_high or self.context.config.view is None:
@@ -157,8 +162,8 @@
                     self.context.logger.warning(
                         "store unavailable", error=str(error)
                     )
-            # Spread over time: all watchers that lost the store at once
-            # would otherwise come back at once.
+            # Jitter: watchers that lost the store at the same time would
+            # otherwise all reconnect at the same time.
             await asyncio.sleep(
                 self.context.rng.uniform(PAUSE_SECONDS_MIN, PAUSE_SECONDS_MAX)
             )
@@ -184,10 +189,11 @@
         self.store_index = entry.index
 
     async def sync(self) -> None:
-        """Compares all state with a random peer now and then.
+        """Fetches the complete state of a random peer periodically.
 
-        Gossip spreads news a bounded number of times; what a node missed
-        while it was paused or cut off comes to it this way.
+        Gossip disseminates an update a bounded number of times. A node that
+        was paused or partitioned meanwhile receives it this way
+        (anti-entropy).
         """
         while True:
             others = self.members.others(membership_model.Status.ALIVE)
@@ -198,7 +204,7 @@
             await asyncio.sleep(pause * self.context.rng.uniform(0.7, 1.3))
 
     async def join(self) -> None:
-        """Asks the seeds for configuration and members at start."""
+        """Requests configuration and members from the seeds at start."""
         for seed in self.context.settings.seeds:
             if seed != self.members.own.peers:
                 await self.fetch("", seed)
--- a/src/currantcart/node/drain.py
+++ b/src/currantcart/node/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: leave without cutting a call."""
+"""Graceful shutdown: the node leaves the fleet without cutting a call."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 async def drain(node: app.Node) -> int:
-    """Leaves the fleet and finishes what runs.
+    """Leaves the fleet and waits for the running calls to finish.
 
     Returns:
-      How many calls were cut because the time was over.
+      Number of calls cut because the drain time was over, or because the
+      shutdown was requested a second time.
     """
     context = node.context
     announce_leave(node)
@@ -38,7 +39,7 @@
 
 
 def announce_leave(node: app.Node) -> None:
-    """Tells all others, so that they send no more new calls."""
+    """Announces LEAVING to all peers, so that they send no new calls."""
     node.context.draining = True
     leaving = dataclasses.replace(
         node.members.own, status=membership_model.Status.LEAVING
@@ -48,7 +49,7 @@
 
 
 def caller_tasks(node: app.Node) -> set[asyncio.Task[None]]:
-    """Returns the tasks of the calls that callers wait for."""
+    """Returns the tasks of the calls whose callers wait for an answer."""
     return {
         caller.task
         for caller in node.ingress.connections
@@ -57,10 +58,10 @@
 
 
 async def finish_calls(node: app.Node) -> None:
-    """Waits for all calls, and for late ones of stale peers."""
-    # While the target still works, its own calls have to come in, and those
-    # of callers are carried to other targets; each answer closes its
-    # connection, so that callers move on.
+    """Waits for all calls, and for late ones from peers with stale state."""
+    # While the target is still working, the calls that it makes have to be
+    # accepted. Calls of other callers are forwarded to other targets, and each
+    # answer closes its connection, so that callers connect to another node.
     node.ingress.closing = True
     await asyncio.sleep(NOTICE_SECONDS)
     await node.guard.finish_running()
@@ -70,6 +71,7 @@
     tasks = caller_tasks(node) | node.operations.finishing
     if tasks:
         await asyncio.wait(tasks)
-    # Peers that have not heard yet still send; they get a truthful refusal
-    # that they re-route, where a closed port would be a failure.
+    # Peers that have not received the announcement yet still send calls. They
+    # get a `draining` refusal and reroute the call; a closed port would count
+    # as a failure.
     await asyncio.sleep(LATE_CALLS_SECONDS)
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip over UDP: the detector's datagrams and their clock."""
+"""Gossip over UDP: sends and receives the failure detector's datagrams."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """The gossip of one node.
+    """Datagram protocol of one node's gossip.
 
     Attributes:
-      detector: Decides what is sent.
+      detector: Decides which datagrams are sent.
       on_news: Called when the member table changed.
-      on_lack: Called with a sender that knows what this node lacks.
-      bytes_sent: For the cost of control.
+      on_lack: Called with instance and address of a sender that has state
+        which this node is missing.
+      key: Key that authenticates datagrams.
+      table_version: Version of the member table last passed to `on_news`.
+      bytes_sent: Bytes of datagrams sent, as a measure of control traffic.
     """
 
     def __init__(
@@ -42,11 +45,11 @@
         self.bytes_sent = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the socket."""
+        """Stores the transport of the socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a datagram; a forged or broken one is counted and dropped."""
+        """Processes a datagram; counts and drops a forged or malformed one."""
         del addr
         try:
             datagram = messages.decode(self.key, data)
@@ -63,7 +66,7 @@
             self.on_lack(stranger.sender, stranger.sender_address)
 
     def send(self, outgoing: list[detector.Outgoing]) -> None:
-        """Sends datagrams."""
+        """Encodes and sends datagrams."""
         if self.transport is None or self.transport.is_closing():
             return
         for item in outgoing:
@@ -74,13 +77,13 @@
             )
 
     def check_news(self) -> None:
-        """Tells the node when the member table changed."""
+        """Notifies the node if the member table has changed."""
         if self.table_version != self.detector.table.version:
             self.table_version = self.detector.table.version
             self.on_news()
 
     async def run(self) -> None:
-        """Ticks until cancelled."""
+        """Runs the failure detector's ticks until cancelled."""
         while True:
             self.detector.revision = self.context.config.revision
             self.send(self.detector.tick(self.context.clock.now()))
@@ -88,13 +91,13 @@
             await asyncio.sleep(TICK_SECONDS)
 
     def announce(self) -> None:
-        """Tells all others at once of news about this node."""
+        """Sends this node's entry to all peers at once."""
         self.detector.revision = self.context.config.revision
         self.send(self.detector.farewell())
         self.check_news()
 
     def spread_rumour(self) -> None:
-        """Tells a few random peers of a new revision, who tell others."""
+        """Sends a new revision to a few random peers, which disseminate it."""
         self.detector.revision = self.context.config.revision
         self.send(self.detector.rumour())
         self.check_news()
--- a/src/currantcart/node/links.py
+++ b/src/currantcart/node/links.py
@@ -1,4 +1,4 @@
-"""Streams to the other nodes, dialled on first use."""
+"""Streams to other nodes, opened on first use."""
 
 from __future__ import annotations
 
@@ -27,8 +27,9 @@
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    # Instances come and go and have no lasting names: the fleet's own
-    # authority vouches for them, and the handshake proves the secret.
+    # Instances are replaced often and have no stable host names. They are
+    # authenticated by the fleet's certificate authority, and by the fleet
+    # secret in the handshake.
     context.check_hostname = False
     return load_tls(context, tls)
 
@@ -36,10 +37,10 @@
 def load_tls(
     context: ssl.SSLContext, tls: settings_model.Tls
 ) -> ssl.SSLContext:
-    """Loads the files; both sides must show a certificate.
+    """Loads certificate, key and authority; requires a peer certificate.
 
     Raises:
-      errors.SettingsError: A file is missing or no PEM.
+      errors.SettingsError: A file is missing or is not valid PEM.
     """
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.verify_mode = ssl.CERT_REQUIRED
@@ -54,11 +55,12 @@
 
 
 class Links:
-    """Streams of this node.
+    """Streams between this node and its peers.
 
     Attributes:
-      streams: Open streams by peer instance.
-      accepted: Streams that others dialled.
+      streams: Streams by peer instance.
+      dialling: Tasks that are opening a stream, by peer instance.
+      accepted: Streams that peers dialled.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         self.accepted: set[connection.Connection] = set()
 
     def new_connection(self, role: handshake.Role) -> connection.Connection:
-        """Returns one side of a new stream."""
+        """Returns the local end of a new stream."""
         return connection.Connection(
             service=self.service,
             shake=handshake.Handshake(
@@ -93,14 +95,14 @@
         return stream
 
     def current(self, instance: str) -> connection.Connection | None:
-        """Returns an open stream to a peer, if there is one."""
+        """Returns a usable stream to a peer, or None without one."""
         stream = self.streams.get(instance)
         return stream if stream is not None and stream.usable else None
 
     async def reach(
         self, member: membership_model.Member
     ) -> connection.Connection:
-        """Returns a stream to a peer, dialling it once for all who wait.
+        """Returns a stream to a peer; concurrent callers share one dial.
 
         Raises:
           errors.StreamError: The peer cannot be reached.
@@ -118,7 +120,12 @@
         return await asyncio.shield(task)
 
     async def dial(self, address: str) -> connection.Connection:
-        """Opens a stream to an address."""
+        """Opens a stream to an address.
+
+        Raises:
+          errors.StreamError: The connection or its handshake failed or took
+            longer than `DIAL_SECONDS_MAX`.
+        """
         host, port = settings_model.split_address(address)
         stream = self.new_connection(handshake.Role.DIALER)
         try:
@@ -137,13 +144,13 @@
         return stream
 
     def forget(self, stream: connection.Connection) -> None:
-        """Drops a stream that has ended."""
+        """Removes a stream that has ended."""
         self.accepted.discard(stream)
         if self.streams.get(stream.peer) is stream:
             del self.streams[stream.peer]
 
     def close(self) -> None:
-        """Closes all streams."""
+        """Closes all streams and cancels those being opened."""
         for task in list(self.dialling.values()):
             task.cancel()
         for stream in [*self.streams.values(), *self.accepted]:
--- a/src/currantcart/node/rates.py
+++ b/src/currantcart/node/rates.py
@@ -1,4 +1,8 @@
-"""Rates: own tokens first, then loans from other nodes, then a refusal."""
+"""Admits root calls to workspaces' rates, with token loans between nodes.
+
+A call spends a local token if there is one; else the node requests a loan from
+some of its peers, and refuses the call if none has tokens to spare.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +26,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Round:
-    """One round of asking for loans of one workspace.
+    """One round of loan requests for one workspace.
 
     Attributes:
-      workspace: Whose tokens are asked for.
-      wanted: How many from each.
-      asked_ms: When, before the first message left.
-      open: Numbers of the questions that have no answer yet.
-      done: Set when all are answered or the time is over.
+      workspace: Workspace whose tokens are requested.
+      wanted: Tokens requested from each peer.
+      asked_ms: Time before the first request was sent.
+      open: Numbers of the requests that are not answered yet.
+      done: Done when all requests are answered or the time limit of the round
+        has passed.
     """
 
     workspace: str
@@ -40,12 +45,15 @@
 
 
 class Rates:
-    """Admission to workspaces' rates at one node.
+    """Admission to the rates of workspaces at one node.
 
     Attributes:
-      rounds: Rounds under way, by workspace.
-      questions: Round of each open question.
-      dry_until: When asking is worth while again, by workspace.
+      rounds: Rounds in progress, by workspace.
+      questions: Round of each unanswered request, by number of the request.
+      dry_until: Time until which no loan is requested, by workspace, because
+        the peers had no tokens to spare.
+      number: Number of the latest request.
+      dialling: Tasks that open a stream to send a request.
     """
 
     def __init__(
@@ -65,10 +73,11 @@
         self.dialling: set[asyncio.Task[None]] = set()
 
     async def admit(self, workspace: str) -> None:
-        """Takes one token of a workspace.
+        """Spends one token of a workspace.
 
         Raises:
-          errors.Refusal: Neither this node nor those asked have one.
+          errors.Refusal: Neither this node nor the peers that it asked have a
+            token.
         """
         held = self.context.limiter.share_of(workspace)
         now = self.context.clock.now()
@@ -87,7 +96,11 @@
     async def take_loan(
         self, workspace: str, held: share.Share, now: float
     ) -> bool:
-        """Asks other nodes, once for all calls that wait, and tries again."""
+        """Spends a token after a round of loans, which waiting calls share.
+
+        Returns:
+          Whether a token was spent.
+        """
         if now < self.dry_until.get(workspace, 0.0):
             return False
         present = self.rounds.get(workspace) or self.ask(workspace, held, now)
@@ -96,15 +109,15 @@
         await asyncio.shield(present.done)
         if held.take(self.context.clock.now()):
             return True
-        # The others have none to spare: asking for each further call would
-        # let a workspace that floods cost its messages on every node.
+        # The peers have no tokens to spare. With a round for each further call,
+        # a workspace far over its rate would cause messages at every node.
         self.dry_until[workspace] = self.context.clock.now() + DRY_MS
         return False
 
     def ask(
         self, workspace: str, held: share.Share, now: float
     ) -> Round | None:
-        """Starts a round, if there is anyone to ask."""
+        """Starts a round of loan requests; None without an alive peer."""
         others = self.members.others(membership_model.Status.ALIVE)
         if not others:
             return None
@@ -112,7 +125,8 @@
         peers = self.context.rng.sample(others, min(PEERS_ASKED, len(others)))
         started = Round(
             workspace=workspace,
-            # More than is soon used would end unused, and be lost to all.
+            # Loans expire: tokens beyond the demand of the near future would
+            # expire unused, and no node could spend them.
             wanted=max(
                 WANTED_MIN, held.demand_over(WANTED_SPAN_MS) / len(peers)
             ),
@@ -127,7 +141,7 @@
         return started
 
     def question(self, asked: Round, peer: membership_model.Member) -> None:
-        """Asks one peer for its part of a round."""
+        """Requests a loan from one peer."""
         self.number += 1
         asked.open.add(self.number)
         self.questions[self.number] = asked
@@ -143,7 +157,7 @@
     async def dial_and_ask(
         self, peer: membership_model.Member, message: messages.Ask
     ) -> None:
-        """Asks a peer to which no stream is open yet."""
+        """Opens a stream to a peer and sends it a request."""
         try:
             stream = await self.links.reach(peer)
         except errors.StreamError:
@@ -156,7 +170,7 @@
         message: messages.Ask | messages.Give,
         stream: connection.Connection,
     ) -> None:
-        """Lends to a peer, or takes a peer's loan."""
+        """Answers a peer's loan request, or processes a peer's answer."""
         if isinstance(message, messages.Give):
             self.answered(message)
             return
@@ -166,7 +180,7 @@
         stream.send(messages.Give(message.number, given))
 
     def answered(self, give: messages.Give) -> None:
-        """Takes a loan; one that comes twice or unasked is dropped."""
+        """Adds a granted loan; drops a duplicate or unrequested one."""
         asked = self.questions.pop(give.number, None)
         if asked is None:
             return
@@ -178,7 +192,7 @@
             self.close(asked)
 
     def close(self, asked: Round) -> None:
-        """Ends a round."""
+        """Ends a round and resumes the calls that wait for it."""
         if self.rounds.get(asked.workspace) is asked:
             del self.rounds[asked.workspace]
         for number in asked.open:
--- a/src/currantcart/node/serve.py
+++ b/src/currantcart/node/serve.py
@@ -1,4 +1,4 @@
-"""Runs one node as a process, from its settings to its exit status."""
+"""Runs one node as a process."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 def tune_collector() -> None:
-    """Makes the garbage collector's pauses rare.
+    """Raises the thresholds of the garbage collector.
 
-    Calls leave few cycles behind, but at the default thresholds the collector
-    walks all modules and models several times a second, and the calls of that
-    moment wait for it.
+    Calls create few reference cycles, but with the default thresholds the
+    collector traverses all modules and models several times a second, and
+    each pause delays the calls in progress.
     """
     gc.collect()
     gc.freeze()
@@ -29,10 +29,10 @@
 
 
 async def run(settings: settings_model.Settings) -> int:
-    """Runs a node until it is asked to stop.
+    """Runs a node until SIGTERM or SIGINT, then drains it.
 
     Returns:
-      0 after a graceful shutdown, 1 when calls were cut.
+      Exit status: 0 after a graceful shutdown, 1 if calls were cut.
     """
     loop = asyncio.get_running_loop()
     store = store_http.HttpStore(settings.store)
--- a/src/currantcart/node/target_watch.py
+++ b/src/currantcart/node/target_watch.py
@@ -1,4 +1,4 @@
-"""Announces the target while it takes connections."""
+"""Announces the local target while it accepts connections."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class TargetWatch:
-    """Watches the target beside this node.
+    """Health check of the local target.
 
     Attributes:
-      failures: Checks in a row that found no target.
+      failures: Consecutive failed checks.
     """
 
     def __init__(
@@ -35,7 +35,11 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Checks until cancelled."""
+        """Checks the target periodically until cancelled.
+
+        It is announced with no slots after `FAILURES_MAX` consecutive failed
+        checks.
+        """
         target = self.context.settings.target
         while True:
             if await self.takes_connections():
@@ -48,7 +52,7 @@
             await asyncio.sleep(CHECK_SECONDS)
 
     async def takes_connections(self) -> bool:
-        """Opens a connection to the target and closes it."""
+        """Returns whether the target accepts a TCP connection."""
         address = self.context.settings.target.address
         host, port = settings_model.split_address(address)
         try:
@@ -60,7 +64,11 @@
         return True
 
     def announce(self, slots: int) -> None:
-        """Announces that the target serves, or that it does not."""
+        """Announces the target's slots if they have changed.
+
+        Args:
+          slots: Calls that the target runs concurrently; 0 if it is down.
+        """
         own = self.members.own
         if own.slots == slots or self.context.draining:
             return
