--- a/src/currantcart/node/arrival.py
+++ b/src/currantcart/node/arrival.py
@@ -1,4 +1,4 @@
-"""A call as it arrives at its target's node: its state and checks."""
+"""Builds and checks a call on its arrival at the node of its target."""
 
 from __future__ import annotations
 
@@ -50,7 +50,11 @@
 def precheck(
     context: node_context.NodeContext, opening: messages.Open
 ) -> errors.Refusal | None:
-    """Checks what the sender's stale view may have missed."""
+    """Checks what the sender may not have known, as its view may be stale.
+
+    Returns:
+      The refusal, or None if the call may run here.
+    """
     settings = context.settings
     if context.draining:
         return incoming_module.refusal(
@@ -73,10 +77,13 @@
 def check_key(
     context: node_context.NodeContext, opening: messages.Open
 ) -> errors.Refusal | None:
-    """Checks that the key of the root call is still in force here.
+    """Checks that the key of the root call is valid in this node's view.
+
+    The node that accepted the call may not have received a withdrawal yet, or
+    this node may have received it while the call waited in the queue.
 
-    The node that took the call may not have heard of a withdrawal yet,
-    and a call may have waited in the queue while it came.
+    Returns:
+      The refusal, or None if the key is valid.
     """
     view = context.config.view
     if view is None:
--- a/src/currantcart/node/dispatch.py
+++ b/src/currantcart/node/dispatch.py
@@ -1,4 +1,4 @@
-"""One call at the target: request, answer, and what may go wrong between."""
+"""Sends one call to the target and its answer back to the caller's node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TargetGuard(Protocol):
-    """The guard on whose behalf a call is at the target."""
+    """What a dispatch needs of the guard that started it."""
 
     context: node_context.NodeContext
     host: str
@@ -28,12 +28,12 @@
 
     @property
     def load(self) -> int:
-        """Calls running and waiting."""
+        """Number of calls running and waiting."""
 
     def refuse(
         self, incoming: incoming_module.Incoming, fault: errors.Refusal
     ) -> None:
-        """Sends a refusal up."""
+        """Sends a refusal to the caller's node."""
 
     def note(
         self,
@@ -49,10 +49,14 @@
     """One call at the target.
 
     Attributes:
-      answered: Whether the head of an answer went up.
-      handed_over: Whether any byte went to the target.
-      latency_ms: Time of the target; None when it says nothing about it.
-      overloaded: Whether the target refused for overload.
+      connection: The connection to the target, once it is leased.
+      pump: Task that sends a streamed request body.
+      clean: Whether the connection may be used for another request.
+      answered: Whether the head of an answer was sent to the caller's node.
+      handed_over: Whether any byte may have been sent to the target.
+      latency_ms: Time that the target took to answer. None if it is no measure
+        of the target: for streamed bodies and calls that failed.
+      overloaded: Whether the target refused because of overload.
       status: HTTP status of the answer; 0 without one.
     """
 
@@ -71,7 +75,11 @@
         self.status = 0
 
     async def run(self, token: str) -> None:
-        """Sends the request and relays the answer."""
+        """Sends the request to the target and relays the answer.
+
+        Args:
+          token: Context token for the calls that the target makes.
+        """
         opening = self.incoming.opening
         clock = self.guard.context.clock
         self.connection = await self.guard.pool.lease()
@@ -100,7 +108,7 @@
         self.clean = self.pump is None or self.pump.done()
 
     def request_headers(self, token: str) -> CIMultiDict[str]:
-        """Returns the headers for the target."""
+        """Returns the headers of the request to the target."""
         opening = self.incoming.opening
         fields = headers.to_multidict(opening.headers)
         fields["Host"] = self.guard.host
@@ -112,7 +120,11 @@
     async def await_answer(
         self, connection: client.TargetConnection
     ) -> client.TargetAnswer:
-        """Waits for the answer's head, or for the body's failure."""
+        """Waits for the head of the answer.
+
+        Raises:
+          Exception: The request body failed first; its error is raised.
+        """
         if self.pump is None:
             return await connection.answer()
         waiting = asyncio.ensure_future(connection.answer())
@@ -127,7 +139,7 @@
             waiting.cancel()
 
     async def send_body(self, connection: client.TargetConnection) -> None:
-        """Passes the rest of the request's body to the target."""
+        """Streams the rest of the request body to the target."""
         stream = self.incoming.stream
         while True:
             chunk = await stream.read()
@@ -136,7 +148,11 @@
                 return
 
     def is_not_run(self, answer: client.TargetAnswer) -> bool:
-        """Handles a target's own refusal for overload."""
+        """Refuses the call if the target reports overload and not running it.
+
+        Returns:
+          Whether the call was refused.
+        """
         self.overloaded = answer.message.code in OVERLOAD_STATUSES
         says_not_run = (
             answer.message.headers.get(headers.NOT_RUN, "").lower() == "true"
@@ -156,7 +172,7 @@
         return True
 
     async def relay(self, answer: client.TargetAnswer) -> None:
-        """Sends the answer up."""
+        """Sends the answer to the caller's node."""
         guard, stream = self.guard, self.incoming.stream
         body = answer.body
         chunk = body.read_nowait() if body.is_eof() else b""
@@ -200,11 +216,11 @@
         stream.close()
 
     def fail(self, code: errors.Code, detail: str) -> None:
-        """Ends a call that the target did not answer whole."""
+        """Ends a call that the target did not answer completely."""
         self.latency_ms = None
         if self.answered:
-            # Part of the answer is up already; only a cut shows that it is
-            # not the whole.
+            # Part of the answer has been sent already; only a reset shows
+            # that the rest is missing.
             self.incoming.stream.reset(errors.Code.ANSWER_ABORTED, detail)
             return
         self.refuse(
@@ -217,15 +233,15 @@
         )
 
     def refuse(self, fault: errors.Refusal) -> None:
-        """Sends a refusal up."""
+        """Sends a refusal to the caller's node."""
         self.guard.refuse(self.incoming, fault)
 
     def cut(self) -> None:
-        """Ends a call whose caller left, or that a shutdown cuts."""
+        """Resets a call whose caller has left, or that a shutdown cuts."""
         self.incoming.stream.reset(errors.Code.CANCELLED, "cancelled")
 
     def close(self) -> None:
-        """Returns the connection; a doubtful one is cut."""
+        """Returns the connection to the pool, which closes it unless clean."""
         if self.pump is not None and not self.pump.done():
             self.pump.cancel()
         if self.connection is not None:
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -1,4 +1,4 @@
-"""Forwarding: attempts at targets, and the answer's way to the caller."""
+"""Forwards calls: attempts at targets until one gives the final outcome."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
     Attributes:
       candidate: The target.
-      lent: Retries lent to it.
-      stream: Its stream once it is open.
-      head: What came back.
+      lent: Retries lent to the attempt.
+      stream: Stream of the call, once it is open.
+      head: Head of the answer, or the refusal, once received.
     """
 
     candidate: router.Candidate
@@ -40,7 +40,7 @@
 
 
 class Forwarder:
-    """Forwards the calls that this node takes."""
+    """Forwards the calls that this node accepts."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
     async def forward(
         self, call: call_model.Call, exchange: server.Exchange
     ) -> messages.Answer:
-        """Brings a call to a target and its answer back.
+        """Forwards a call to a target and relays the answer to the caller.
 
         Returns:
-          The head of the answer that the caller got.
+          The head of the answer that was sent to the caller.
 
         Raises:
-          errors.Refusal: No target answered.
+          errors.Refusal: No target answered, or the deadline passed.
         """
         remaining_ms = call.deadline_ms - self.context.clock.now()
         try:
@@ -82,12 +82,12 @@
 
 
 class Forwarding:
-    """One call on its way.
+    """Forwarding of one call.
 
     Attributes:
-      tried: Instances that failed for this call.
+      tried: Instances at which an attempt failed.
       earlier_unknown: Whether an earlier attempt may have run the call.
-      upload: The body of the request.
+      upload: Body of the request.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self.upload = upload.Upload(exchange, forwarder.context.loop)
 
     async def run(self) -> messages.Answer:
-        """Makes attempts until one is final."""
+        """Makes attempts until one is final; relays its answer."""
         attempts = retry.Attempts(
             idempotent=self.call.idempotent, replayable=True
         )
@@ -123,15 +123,20 @@
                     try:
                         raise refusal
                     finally:
-                        # Its traceback refers to this frame; without this
-                        # each refusal would wait for the garbage collector.
+                        # The traceback of the refusal refers to this frame,
+                        # and the frame to the refusal: without `del`, only the
+                        # garbage collector would free the cycle.
                         del refusal
             finally:
                 self.end(attempt)
             self.tried.add(attempt.candidate.member.instance)
 
     def choose(self, attempts: retry.Attempts) -> Attempt:
-        """Picks the target of the next attempt."""
+        """Selects the target of the next attempt.
+
+        Targets that failed for this call are excluded, except for a retry that
+        has no other target.
+        """
         call = self.call
         now = self.context.clock.now()
         try:
@@ -183,7 +188,7 @@
         )
 
     async def begin(self, attempt: Attempt) -> None:
-        """Opens the call at the target's node and waits for a head."""
+        """Opens the call at the target's node and waits for the head."""
         member = attempt.candidate.member
         try:
             attempt.stream = await self.open(member, attempt)
@@ -197,7 +202,7 @@
         member: membership_model.Member,
         attempt: Attempt,
     ) -> call_stream.CallStream:
-        """Opens the stream of an attempt."""
+        """Opens the stream of an attempt, locally or to a peer."""
         opening = self.opening(attempt)
         if member.instance == self.context.instance:
             here, there = connection.join_local(
@@ -213,7 +218,11 @@
     def failed_head(
         self, attempt: Attempt, error: errors.StreamError
     ) -> messages.Refuse:
-        """Returns the refusal that a broken stream amounts to."""
+        """Returns the refusal that stands for a failed stream.
+
+        If the stream had been opened, the call may have run, and the retries
+        lent to it are lost.
+        """
         member = attempt.candidate.member
         return messages.Refuse(
             call_number=0,
@@ -230,10 +239,10 @@
         )
 
     def judge(self, attempt: Attempt) -> errors.Refusal | None:
-        """Takes what came back of an attempt.
+        """Processes the head of an attempt.
 
         Returns:
-          The refusal, or None for an answer of the target.
+          The refusal, or None if the target answered.
         """
         head = attempt.head
         assert head is not None
@@ -267,12 +276,12 @@
         return self.note_next(following, refusal.code)
 
     def go_on_naively(self, attempts: retry.Attempts) -> bool:
-        """Retries as a plain proxy does; only for baselines."""
+        """Retries as a plain proxy does; the baseline without control."""
         attempts.retries += 1
         return attempts.replayable and attempts.retries < NAIVE_ATTEMPTS
 
     def retry_answer(self, attempt: Attempt, attempts: retry.Attempts) -> bool:
-        """Decides whether another attempt follows a target's answer."""
+        """Decides whether another attempt follows an answer of the target."""
         answer = attempt.head
         assert isinstance(answer, messages.Answer)
         attempts.replayable = not self.upload.taken
@@ -288,7 +297,11 @@
         return self.note_next(following, str(answer.status))
 
     def note_next(self, following: retry.Next, why: str) -> bool:
-        """Records what follows a failed attempt."""
+        """Records what follows a failed attempt.
+
+        Returns:
+          Whether another attempt follows.
+        """
         if following is retry.Next.STOP:
             return False
         event = (
@@ -312,7 +325,7 @@
         return answer
 
     def end(self, attempt: Attempt) -> None:
-        """Gives back what an attempt held."""
+        """Releases what an attempt held: its load, health probe and stream."""
         attempt.candidate.in_flight -= 1
         if attempt.head is None:
             attempt.candidate.health.released()
--- a/src/currantcart/node/guard.py
+++ b/src/currantcart/node/guard.py
@@ -1,4 +1,4 @@
-"""The guard of the target: admission, dispatch, and the answer's way back."""
+"""Controls all access to the target: admission, queue and dispatch."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 
 class Guard:
-    """Everything that reaches the target goes through here.
+    """Admits, queues and runs all calls of the local target.
 
     Attributes:
-      admission: Decides what runs.
-      pool: Connections to the target; nobody else opens any.
-      queued: Calls that wait, by their place in the queue.
+      host: Address of the target, for the Host header.
+      admission: Decides which calls run, wait or are refused.
+      pool: Connections to the target; calls use no others.
+      queued: Calls that wait, by the `id` of their queue entry.
       running: Tasks of the calls at the target.
+      expiry: Timer of the next search for expired calls.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
@@ -50,7 +52,7 @@
     def arrive(
         self, opening: messages.Open, stream: call_stream.CallStream
     ) -> None:
-        """Takes a call: runs it, lets it wait, or refuses it at once."""
+        """Runs a call, queues it, or refuses it at once."""
         now = self.context.clock.now()
         incoming = arrival.build(self.context, opening, stream, now)
         fault = arrival.precheck(self.context, opening)
@@ -69,7 +71,7 @@
             self.shed(incoming, offer.reason)
 
     def wait(self, incoming: incoming_module.Incoming) -> None:
-        """Keeps a call until a slot is free or its time is over."""
+        """Queues a call until a slot is free or it is dropped."""
         self.queued[id(incoming.waiting)] = incoming
         incoming.stream.on_reset = lambda: self.abandon(incoming)
         self.note(record.Event.QUEUED, incoming)
@@ -79,7 +81,7 @@
             )
 
     def expire(self) -> None:
-        """Gives up calls whose time is over, at once, while any wait."""
+        """Drops expired calls, periodically while any are queued."""
         self.expiry = None
         for dropped in self.admission.expire(self.context.clock.now()):
             self.drop(dropped)
@@ -89,20 +91,20 @@
             )
 
     def abandon(self, incoming: incoming_module.Incoming) -> None:
-        """Forgets a waiting call whose caller left."""
+        """Removes a queued call whose caller has left."""
         if self.queued.pop(id(incoming.waiting), None) is not None:
             self.admission.abandon(incoming.waiting)
             self.note(record.Event.CANCELLED, incoming, detail="while waiting")
             self.end_hop(incoming, status=0)
 
     def drop(self, dropped: controller.Dropped) -> None:
-        """Refuses a call that was given up in the queue."""
+        """Refuses a call that was dropped from the queue."""
         self.shed(self.queued.pop(id(dropped.waiting)), dropped.reason)
 
     def shed(
         self, incoming: incoming_module.Incoming, reason: controller.DropReason
     ) -> None:
-        """Refuses a call for overload."""
+        """Refuses a call because of overload."""
         self.context.metrics.shed.labels(reason).inc()
         self.note(record.Event.SHED, incoming, detail=reason)
         self.refuse(
@@ -119,7 +121,7 @@
     def refuse(
         self, incoming: incoming_module.Incoming, fault: errors.Refusal
     ) -> None:
-        """Sends a refusal up."""
+        """Sends a refusal to the caller's node."""
         self.end_hop(incoming, status=fault.status)
         now = self.context.clock.now()
         incoming.stream.refuse(
@@ -142,7 +144,7 @@
 
     @property
     def load(self) -> int:
-        """Calls running and waiting."""
+        """Number of calls running and waiting."""
         return self.admission.running + self.admission.queue.size
 
     def start(self, incoming: incoming_module.Incoming) -> None:
@@ -152,17 +154,17 @@
             self.watch(incoming, task)
 
     def start_later(self, incoming: incoming_module.Incoming) -> None:
-        """Runs an admitted call from the loop's next turn on.
+        """Runs an admitted call from the next iteration of the event loop.
 
-        A call that fails at once frees its slot for the next one; starting
-        that one inside would nest as deep as the queue is long.
+        A call that fails at once frees its slot for the next one. Starting
+        that one directly would recurse as deep as the queue is long.
         """
         self.watch(incoming, self.context.loop.create_task(self.run(incoming)))
 
     def watch(
         self, incoming: incoming_module.Incoming, task: asyncio.Task[None]
     ) -> None:
-        """Keeps the task of a running call."""
+        """Tracks the task of a running call, and cancels it on a reset."""
         incoming.task = task
         incoming.stream.on_reset = incoming.cancel
         self.running.add(task)
@@ -171,7 +173,12 @@
     def release(
         self, *, latency_ms: float | None, overloaded: bool = False
     ) -> None:
-        """Frees a slot and acts on what follows from it."""
+        """Releases a slot and starts or drops queued calls accordingly.
+
+        Args:
+          latency_ms: Time that the target took; None if it was not measured.
+          overloaded: Whether the target refused because of overload.
+        """
         released = self.admission.finish(
             self.context.clock.now(),
             latency_ms=latency_ms,
@@ -191,7 +198,11 @@
                     )
 
     def start_waiting(self, incoming: incoming_module.Incoming) -> bool:
-        """Runs a call that has waited, unless its key was withdrawn."""
+        """Starts a queued call, unless its key was withdrawn meanwhile.
+
+        Returns:
+          Whether the call was started.
+        """
         fault = arrival.check_key(self.context, incoming.opening)
         if fault is not None:
             self.refuse(incoming, fault)
@@ -200,7 +211,7 @@
         return True
 
     async def run(self, incoming: incoming_module.Incoming) -> None:
-        """Brings a call to the target and its answer back."""
+        """Runs a call at the target, until its deadline at the latest."""
         attempt = dispatch.Dispatch(self, incoming)
         token = self.context.active.begin(incoming.call)
         self.note(record.Event.RUNNING, incoming)
@@ -235,7 +246,7 @@
     def end_hop(
         self, incoming: incoming_module.Incoming, *, status: int
     ) -> None:
-        """Finishes the span of a call."""
+        """Ends the span of a call, if it has one."""
         hop, incoming.hop = incoming.hop, None
         if hop is not None:
             hop.end(
@@ -263,7 +274,7 @@
         )
 
     async def finish_running(self) -> None:
-        """Waits until nothing waits or runs."""
+        """Waits until no call is queued or running."""
         while self.running or self.queued:
             if self.running:
                 await asyncio.wait(set(self.running), timeout=0.05)
@@ -271,7 +282,11 @@
                 await asyncio.sleep(EXPIRY_PERIOD_SECONDS)
 
     def cancel_running(self) -> int:
-        """Cuts what still runs and returns how many calls that were."""
+        """Cancels the running calls.
+
+        Returns:
+          Number of calls that were running or queued.
+        """
         cut = len(self.running) + len(self.queued)
         for task in self.running:
             task.cancel()
--- a/src/currantcart/node/incoming.py
+++ b/src/currantcart/node/incoming.py
@@ -1,4 +1,4 @@
-"""A call that came to this node's target, and the refusals it may meet."""
+"""State of a call that arrived for this node's target, and its refusals."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Incoming:
-    """A call that came to this node's target.
+    """A call that arrived for this node's target.
 
     Attributes:
-      opening: The message that opened it.
-      stream: Its stream.
-      waiting: Its place in the queue.
-      call: Its entry as a parent of the target's own calls.
-      hop: Its span, if it is traced.
-      task: Its work at the target, from its first wait on.
+      opening: The message that opened the call.
+      stream: Stream of the call.
+      waiting: Queue entry of the call.
+      call: Entry of the call as the parent of calls that the target makes.
+      hop: Span of the call, if it is traced.
+      task: Task that runs the call at the target. If it is started eagerly,
+        this is None until it suspends for the first time.
     """
 
     opening: messages.Open
@@ -33,7 +34,7 @@
     task: asyncio.Task[None] | None = None
 
     def cancel(self) -> None:
-        """Ends the work at the target."""
+        """Cancels the task that runs the call."""
         if self.task is not None:
             self.task.cancel()
 
@@ -46,7 +47,7 @@
     not_run: bool,
     retry_after_ms: float = 0.0,
 ) -> errors.Refusal:
-    """Returns a refusal of the guard."""
+    """Returns a refusal by this node."""
     return errors.Refusal(
         code, step, detail, not_run=not_run, retry_after_ms=retry_after_ms
     )
--- a/src/currantcart/node/ingress.py
+++ b/src/currantcart/node/ingress.py
@@ -1,4 +1,4 @@
-"""The way in: takes calls from callers and from the node's own target."""
+"""Accepts the HTTP requests of callers and of the node's target."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class Ingress:
-    """Answers the exchanges of one node.
+    """Answers the HTTP requests that reach one node.
 
     Attributes:
       connections: Open connections of callers.
-      closing: Whether each answer closes its connection.
+      closing: Whether each connection closes after its answer.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.closing = False
 
     def accept(self) -> server.ServerConnection:
-        """Returns the protocol of a caller's new connection."""
+        """Returns the protocol for a new connection of a caller."""
         return server.ServerConnection(
             handler=self.handle,
             refuse=self.refuse_bytes,
@@ -57,12 +57,12 @@
         )
 
     def refuse_bytes(self, refusal: errors.Refusal) -> bytes:
-        """Returns the answer to bytes that are no request."""
+        """Returns the answer to bytes that are not a valid request."""
         self.context.metrics.refusals.labels("", refusal.code).inc()
         return problem.raw_response(refusal, instance=self.context.instance)
 
     async def handle(self, exchange: server.Exchange) -> None:
-        """Answers one exchange."""
+        """Answers one request."""
         call: call_model.Call | None = None
         exchange.keep_alive = exchange.keep_alive and not self.closing
         try:
@@ -81,12 +81,16 @@
                 self.note(record.Event.CANCELLED, call, "the caller left")
             exchange.abort()
         except Exception:
-            # A fault of ours must not take the node down; it is shown whole.
+            # A bug must not stop the node; it is logged with its traceback.
             self.context.logger.exception("call failed", step="relay")
             exchange.abort()
 
     async def admit(self, call: call_model.Call) -> None:
-        """Applies what this node decides on its own before routing."""
+        """Applies the rate limit and the ingress throttle.
+
+        Raises:
+          errors.Refusal: The call is over its workspace's rate or is shed.
+        """
         self.note(record.Event.ACCEPTED, call, call.workspace)
         if not self.context.controlled:
             return
@@ -96,7 +100,7 @@
         if not self.context.throttle.admit(learning.stream_of(call), now):
             level = self.context.throttle.level(call.service, now)
             if call.parent is not None:
-                # The parent's own answer carries it on.
+                # The level is sent upstream with the answer of the parent.
                 call.parent.note_shedding(max(level, call.priority))
             raise errors.Refusal(
                 errors.Code.OVERLOADED,
@@ -110,7 +114,7 @@
     async def serve(
         self, call: call_model.Call, exchange: server.Exchange
     ) -> None:
-        """Brings a call to a target and its answer back to the caller."""
+        """Runs an admitted call in a span and counts its answer."""
         started_ms = self.context.clock.now()
         if call.parent is not None:
             call.parent.cancels.add(exchange.cancel)
@@ -135,7 +139,11 @@
     async def run_call(
         self, call: call_model.Call, exchange: server.Exchange
     ) -> int:
-        """Forwards a call, under a claim if it must run at most once."""
+        """Forwards a call, under a claim if it must run at most once.
+
+        Returns:
+          HTTP status of the answer.
+        """
         if not call.once:
             return (await self.forwarder.forward(call, exchange)).status
         begun = await self.operations.begin(call, exchange)
@@ -152,7 +160,7 @@
     def count(
         self, call: call_model.Call, started_ms: float, status: int
     ) -> None:
-        """Counts an answered call."""
+        """Records an answered call in the metrics."""
         seconds = (self.context.clock.now() - started_ms) / 1_000
         self.context.metrics.answered(call.service, status, seconds)
 
@@ -162,7 +170,10 @@
         call: call_model.Call | None,
         refusal: errors.Refusal,
     ) -> None:
-        """Sends the final answer to a call that was given up, at once."""
+        """Answers a refused call.
+
+        If the head of an answer was sent already, the connection is aborted.
+        """
         service = call.service if call else ""
         self.context.metrics.refusals.labels(service, refusal.code).inc()
         call_id = ""
--- a/src/currantcart/node/intake.py
+++ b/src/currantcart/node/intake.py
@@ -1,6 +1,6 @@
-"""Checks that turn a request into a call: key or context, graph, deadline.
+"""Validates a request and builds a call: key or context, graph, deadline.
 
-Pure decisions on the parsed head of a request; nothing here does I/O.
+The decisions use only the parsed head of the request; there is no I/O.
 """
 
 from __future__ import annotations
@@ -25,19 +25,23 @@
 
 
 def refuse(code: errors.Code, step: errors.Step, detail: str) -> errors.Refusal:
-    """Returns a refusal of a call that was handed to no one."""
+    """Returns a refusal of a call that was not forwarded."""
     return errors.Refusal(code, step, detail, not_run=True)
 
 
 def new_call_ids() -> Iterator[str]:
-    """Yields ids that are unique over nodes and restarts."""
+    """Yields call ids that are unique across nodes and restarts."""
     prefix = secrets.token_hex(6)
     for number in itertools.count():
         yield f"{prefix}{number:08x}"
 
 
 def split_path(raw: str) -> tuple[str, str]:
-    """Splits `/service/rest?query` into the service and the target's path."""
+    """Splits `/service/rest?query` into the service and the target's path.
+
+    Raises:
+      errors.Refusal: The path does not start with a slash.
+    """
     if not raw.startswith("/"):
         raise refuse(
             errors.Code.BAD_REQUEST,
@@ -55,7 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a call comes from: a key or a running parent."""
+    """Identity under which a call is made.
+
+    Attributes:
+      workspace: Workspace of the root call's key.
+      key_id: Id of that key.
+      parent: The running call that makes it; None for a root call.
+    """
 
     workspace: str
     key_id: str
@@ -64,7 +74,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What a request asks of a service."""
+    """Destination of a request within a service.
+
+    Attributes:
+      route: Route of the service that matches the request.
+      method: HTTP method.
+      path: Path and query inside the service.
+    """
 
     route: graph_model.Route
     method: str
@@ -72,7 +88,7 @@
 
 
 class Intake:
-    """The checks of one node."""
+    """Validates the requests that reach one node."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
@@ -81,10 +97,15 @@
     def check(
         self, method: str, raw_path: str, given: CIMultiDictProxy[str]
     ) -> call_model.Call:
-        """Turns the head of a request into a call.
+        """Validates the head of a request and builds the call.
+
+        Args:
+          method: HTTP method.
+          raw_path: Path and query of the request.
+          given: Headers of the request.
 
         Raises:
-          errors.Refusal: A check fails; the call was handed to no one.
+          errors.Refusal: A check failed; the call was not forwarded.
         """
         now = self.context.clock.now()
         view = self.context.config.require()
@@ -120,7 +141,12 @@
         given: CIMultiDictProxy[str],
         now: float,
     ) -> Origin:
-        """Finds out whose call it is."""
+        """Authenticates a call by its context token or its API key.
+
+        Raises:
+          errors.Refusal: The token or key is not valid or both are missing,
+            or the call has no token and this node is isolated.
+        """
         token = given.get(headers.CONTEXT)
         if token is not None:
             parent = self.context.active.parent(token, now=now)
@@ -135,14 +161,14 @@
             raise refuse(
                 errors.Code.NOT_READY,
                 errors.Step.AUTHENTICATE,
-                "this node is cut off and may have missed withdrawn keys",
+                "this node is isolated and may have missed key withdrawals",
             )
         shown = headers.bearer_key(given.get(headers.AUTHORIZATION))
         if shown is None:
             raise refuse(
                 errors.Code.KEY_MISSING,
                 errors.Step.AUTHENTICATE,
-                "neither a key nor a call context came with the call",
+                "the call has neither an API key nor a call context",
             )
         key = view.keys_by_digest.get(workspace_model.digest_of(shown))
         if key is None:
@@ -163,10 +189,10 @@
         deadline_ms: float,
         traceparent: str,
     ) -> call_model.Call:
-        """Builds a call: a root call, or one that inherits from its parent.
+        """Builds a root call, or one that inherits from its parent.
 
-        A root call creates the retry allowance of its chain; all below share
-        it, and its importance.
+        A root call creates the retry allowance of its chain. All calls below
+        share it, and inherit the importance of the root call.
         """
         call_id = next(self.call_ids)
         parent = origin.parent
@@ -201,17 +227,17 @@
 
 
 def check_depth(depth: int) -> None:
-    """Refuses a call that is too deep in its chain."""
+    """Refuses a call that exceeds the maximum depth of a chain."""
     if depth >= graph_model.DEPTH_MAX:
         raise refuse(
             errors.Code.TOO_DEEP,
             errors.Step.GRAPH,
-            f"the chain is {depth + 1} deep, allowed: {graph_model.DEPTH_MAX}",
+            f"the chain is {depth + 1} deep, limit: {graph_model.DEPTH_MAX}",
         )
 
 
 def check_idempotency_key(value: str | None) -> None:
-    """Checks the form of an idempotency key."""
+    """Validates an idempotency key, if there is one."""
     if value is None:
         return
     printable = value.isascii() and value.isprintable()
@@ -219,7 +245,7 @@
         raise refuse(
             errors.Code.IDEMPOTENCY_KEY_INVALID,
             errors.Step.PARSE,
-            f"Idempotency-Key: allowed: 1 to {IDEMPOTENCY_KEY_CHARS_MAX} "
+            f"Idempotency-Key must have 1 to {IDEMPOTENCY_KEY_CHARS_MAX} "
             "printable ASCII characters",
         )
 
@@ -227,7 +253,7 @@
 def find_service(
     view: config_view.View, name: str, parent: active.ActiveCall | None
 ) -> graph_model.Service:
-    """Finds the called service and checks that the parent may call it."""
+    """Returns the called service, if the parent may call it."""
     service = view.graph.services.get(name)
     if service is None:
         raise refuse(
--- a/src/currantcart/node/learning.py
+++ b/src/currantcart/node/learning.py
@@ -1,7 +1,8 @@
-"""What a node learns from the end of an attempt.
+"""Records the outcome of an attempt where later decisions use it.
 
-The router learns load and health, the throttle whether the call was shed, and
-a running parent that its own answer has to carry that on.
+The router receives load and health of the target, the throttle whether the call
+was shed. A running parent records a shed call, as its answer reports it
+upstream.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def stream_of(call: call_model.Call) -> throttle.Stream:
-    """Returns the stream under which a call is throttled."""
+    """Returns the throttle's key for a call."""
     return throttle.Stream(call.service, call.workspace, call.priority)
 
 
@@ -37,7 +38,7 @@
     candidate: router.Candidate,
     head: call_stream.Head,
 ) -> None:
-    """Learns from what came back of an attempt."""
+    """Records the head that ended an attempt."""
     if head.limit > 0:
         context.router.report(
             candidate,
@@ -58,7 +59,7 @@
     candidate: router.Candidate,
     answer: messages.Answer,
 ) -> None:
-    """Learns from a target's answer."""
+    """Records an answer of the target."""
     shed_below = (
         answer.status >= 500 and answer.shed_level > graph_model.NO_SHEDDING
     )
@@ -77,7 +78,7 @@
     candidate: router.Candidate,
     refuse: messages.Refuse,
 ) -> None:
-    """Learns from a refusal."""
+    """Records a refusal."""
     if refuse.code in FAILURE_CODES:
         candidate.health.failed(context.clock.now())
     else:
@@ -97,7 +98,7 @@
     accepted: bool,
     shed_level: int,
 ) -> None:
-    """Feeds the throttle, and the parent whose answer carries it on."""
+    """Records in the throttle, and in the parent, whether a call was shed."""
     context.throttle.answered(
         stream_of(call),
         accepted=accepted,
--- a/src/currantcart/node/operations.py
+++ b/src/currantcart/node/operations.py
@@ -1,4 +1,4 @@
-"""At most once, on a call's way: claim, run, keep the answer."""
+"""At-most-once operations of calls: claim, run, store the answer."""
 
 from __future__ import annotations
 
@@ -19,10 +19,12 @@
 
 
 class Operations:
-    """The once-only operations that this node takes.
+    """At-most-once operations of the calls that this node accepts.
 
     Attributes:
-      finishing: Records that are being written after the answer went out.
+      register: Claims and answers in the store.
+      finishing: Tasks that write the outcome of an operation to the store
+        after the answer was sent.
     """
 
     def __init__(
@@ -37,15 +39,18 @@
     ) -> register.Claim | model.FirstAnswer:
         """Claims the operation of a call.
 
+        Returns:
+          The claim, or the first answer if the operation has run already.
+
         Raises:
-          errors.Refusal: It must not run, or could not be registered.
+          errors.Refusal: The operation must not run, or could not be claimed.
         """
         key = exchange.message.headers.get(headers.IDEMPOTENCY_KEY)
         if key is None:
             raise errors.Refusal(
                 errors.Code.IDEMPOTENCY_KEY_INVALID,
                 errors.Step.OPERATION,
-                "this route needs an Idempotency-Key",
+                "this route requires an Idempotency-Key header",
                 not_run=True,
             )
         operation = model.build(
@@ -60,10 +65,10 @@
         return await self.register.claim(operation)
 
     async def whole_body(self, exchange: server.Exchange) -> bytes:
-        """Reads the body, which the fingerprint needs whole.
+        """Reads the complete body, which the fingerprint covers.
 
         Raises:
-          errors.Refusal: It is too large for a once-only operation.
+          errors.Refusal: It is too large for an at-most-once operation.
         """
         body = exchange.body
         exchange.continue_body()
@@ -77,7 +82,7 @@
                 raise errors.Refusal(
                     errors.Code.BAD_REQUEST,
                     errors.Step.OPERATION,
-                    f"the body of a once-only operation is over "
+                    f"the body of an at-most-once operation exceeds "
                     f"{messages.CHUNK_BYTES_MAX} bytes",
                     not_run=True,
                 )
@@ -85,7 +90,7 @@
         return exchange.whole_body
 
     def answered(self, claim: register.Claim, answer: messages.Answer) -> None:
-        """Keeps an answer, after it went out."""
+        """Stores the answer of an operation, after it was sent."""
         pairs = headers.to_multidict(answer.headers)
         first = model.FirstAnswer(
             status=answer.status,
@@ -95,12 +100,12 @@
         self.finish(self.register.complete(claim, first))
 
     def refused(self, claim: register.Claim, refusal: errors.Refusal) -> None:
-        """Gives a claim back if its call certainly did not run."""
+        """Releases a claim if its call certainly did not run."""
         if refusal.not_run:
             self.finish(self.register.give_back(claim))
 
     def finish(self, work: register.Work) -> None:
-        """Writes a record in the background."""
+        """Writes the outcome of an operation to the store in the background."""
         task = self.context.loop.create_task(work)
         self.finishing.add(task)
         task.add_done_callback(self.finishing.discard)
@@ -111,7 +116,11 @@
         call: call_model.Call,
         exchange: server.Exchange,
     ) -> int:
-        """Sends the first answer again."""
+        """Sends the stored first answer.
+
+        Returns:
+          HTTP status of the answer.
+        """
         fields: CIMultiDict[str] = CIMultiDict(
             {REPLAYED: "true", headers.CALL_ID: call.call_id}
         )
--- a/src/currantcart/node/problem.py
+++ b/src/currantcart/node/problem.py
@@ -15,7 +15,7 @@
 
 
 def body_of(refusal: errors.Refusal, *, instance: str, call_id: str) -> bytes:
-    """Returns the body of a refusal."""
+    """Returns the JSON body of a refusal."""
     fields: dict[str, str | int | float | bool] = {
         "type": TYPE_PREFIX + refusal.code,
         "title": refusal.code.replace("_", " "),
@@ -34,7 +34,7 @@
 
 
 def headers_of(refusal: errors.Refusal, *, call_id: str) -> CIMultiDict[str]:
-    """Returns the headers of a refusal."""
+    """Returns the response headers of a refusal."""
     fields: CIMultiDict[str] = CIMultiDict({"Content-Type": CONTENT_TYPE})
     if refusal.status == 401:
         fields["WWW-Authenticate"] = "Bearer"
@@ -49,7 +49,7 @@
 
 
 def raw_response(refusal: errors.Refusal, *, instance: str) -> bytes:
-    """Returns a whole answer to bytes that were no HTTP request."""
+    """Returns a complete HTTP response to bytes that were no request."""
     body = body_of(refusal, instance=instance, call_id="")
     head = (
         f"HTTP/1.1 {refusal.status} Refused\r\n"
--- a/src/currantcart/node/relay.py
+++ b/src/currantcart/node/relay.py
@@ -1,4 +1,4 @@
-"""An answer's way from a target's stream to the caller."""
+"""Sends the answer of a target to the caller, as one message or streamed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     answer: messages.Answer,
     stream: call_stream.CallStream,
 ) -> None:
-    """Sends a target's answer to the caller."""
+    """Sends the answer of a target to the caller."""
     fields = answer_headers(answer, call)
     if stream.at_end or answer.last:
         await exchange.start(answer.status, fields, whole=stream.read_nowait())
@@ -31,7 +31,7 @@
     stream: call_stream.CallStream,
     fields: CIMultiDict[str],
 ) -> None:
-    """Passes a streamed answer on as fast as the caller takes it."""
+    """Streams an answer with backpressure from the caller."""
     await exchange.start(answer.status, fields, whole=None)
     try:
         while not stream.at_end:
@@ -39,8 +39,8 @@
             if chunk:
                 await exchange.write(chunk)
     except errors.StreamError:
-        # The head is out already; a cut connection is the only sign
-        # that this is not the whole answer.
+        # The head was sent already; only an aborted connection shows that the
+        # answer is incomplete.
         exchange.abort()
         return
     await exchange.finish()
@@ -49,7 +49,7 @@
 def answer_headers(
     answer: messages.Answer, call: call_model.Call
 ) -> CIMultiDict[str]:
-    """Returns the headers of an answer for the caller."""
+    """Returns the headers of the answer to the caller."""
     fields = headers.to_multidict(answer.headers)
     fields[headers.CALL_ID] = call.call_id
     return fields
--- a/src/currantcart/node/upload.py
+++ b/src/currantcart/node/upload.py
@@ -1,8 +1,8 @@
-"""A request's body on its way to a target.
+"""Sends the body of a request to the node of a target.
 
-A small body goes with the opening message and stays here, so that the call can
-be made again. A larger one is streamed once the target's node has admitted the
-call, and from then on the call cannot be made again.
+A small body is part of the opening message and is kept, so that the call can be
+retried. A larger one is streamed once the target's node has admitted the call,
+and from then on the call cannot be retried.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(slots=True)
 class FirstBytes:
-    """What is here of a body when a call is opened.
+    """Part of a body that the opening message contains.
 
     Attributes:
-      chunk: First bytes.
-      last: Whether they are all.
+      chunk: The bytes.
+      last: Whether they are the complete body.
     """
 
     chunk: bytes
@@ -32,9 +32,9 @@
     """The body of one exchange.
 
     Attributes:
-      first: What goes with the opening message.
-      taken: Whether streamed bytes have left for a target.
-      pump: Sends the rest of a streamed body.
+      first: Part that the opening message contains.
+      taken: Whether streaming to a target has begun.
+      pump: Task that streams the body.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.pump: asyncio.Task[None] | None = None
 
     def begin(self, stream: call_stream.CallStream) -> None:
-        """Streams the rest, if there is any."""
+        """Starts streaming a body that is not in the opening message."""
         if not self.first.last:
             self.exchange.continue_body()
             self.pump = self.loop.create_task(self.send(stream))
@@ -59,7 +59,7 @@
             self.pump = None
 
     async def send(self, stream: call_stream.CallStream) -> None:
-        """Passes the caller's body on as fast as the target takes it."""
+        """Streams the caller's body with backpressure from the target."""
         body = self.exchange.body
         try:
             await stream.wait_for_credit()
@@ -81,7 +81,7 @@
 
 
 def first_bytes(exchange: server.Exchange) -> FirstBytes:
-    """Takes what is here of a body, if it is all, without waiting."""
+    """Returns the body if it has arrived completely, without waiting."""
     body = exchange.body
     if exchange.whole_body is not None:
         return FirstBytes(exchange.whole_body, last=True)
