--- a/src/currantcart/node/admin.py
+++ b/src/currantcart/node/admin.py
@@ -12,7 +12,7 @@
 from currantcart.node import distribute, gossip, guard
 
 
-class Shown(Protocol):
+class NodeState(Protocol):
     """The state of a node that the admin pages show."""
 
     context: node_context.NodeContext
@@ -25,7 +25,7 @@
         """Returns whether the node is ready to serve calls."""
 
 
-def status_of(node: Shown) -> dict[str, object]:
+def status_of(node: NodeState) -> dict[str, object]:
     """Returns the state of a node for the status page."""
     context, admission = node.context, node.guard.admission
     pool = node.guard.pool
@@ -57,7 +57,7 @@
     }
 
 
-def build_app(node: Shown) -> web.Application:
+def build_app(node: NodeState) -> web.Application:
     """Returns the admin application."""
 
     async def metrics(request: web.Request) -> web.Response:
--- a/src/currantcart/node/app.py
+++ b/src/currantcart/node/app.py
@@ -39,7 +39,7 @@
       guard: Controls all access to the target.
       members: The member table.
       stopping: Set when a shutdown was requested.
-      hurry: Set when it was requested again, which ends the draining.
+      stop_now: Set when it was requested again, which ends the draining.
     """
 
     def __init__(
@@ -83,8 +83,8 @@
             failure_detector=detector.Detector(
                 members=self.members, seeds=settings.seeds, rng=rng, now=now
             ),
-            on_news=self.members_changed,
-            on_lack=self.distributor.fetch_from,
+            on_members_changed=self.members_changed,
+            on_missing_state=self.distributor.fetch_from,
         )
         self.target_watch = target_watch.TargetWatch(
             self.context, members=self.members, gossip=self.gossip
@@ -98,7 +98,7 @@
         self.callers_server: asyncio.Server | None = None
         self.admin_runner = web.AppRunner(admin.build_app(self))
         self.stopping = asyncio.Event()
-        self.hurry = asyncio.Event()
+        self.stop_now = asyncio.Event()
         self.add_gauges()
 
     def add_gauges(self) -> None:
@@ -143,7 +143,7 @@
     ) -> None:
         """Processes a message about configuration and members."""
         self.distributor.state_message(message, stream)
-        self.gossip.check_news()
+        self.gossip.notify_changes()
 
     def rate_message(
         self,
@@ -151,13 +151,13 @@
         stream: connection.Connection,
     ) -> None:
         """Processes a message about the rates of workspaces."""
-        self.rates.message(message, stream)
+        self.rates.handle_message(message, stream)
 
     def closed(
         self, stream: connection.Connection, error: Exception | None
     ) -> None:
         """Removes a stream that has ended; counts and logs its error."""
-        self.links.forget(stream)
+        self.links.remove(stream)
         if isinstance(error, errors.StreamError):
             self.context.metrics.streams.labels(error.code).inc()
             self.context.logger.warning(
@@ -177,7 +177,7 @@
             view.workspaces.values(), self.context.clock.now()
         )
         self.members.note_revision(self.context.instance, view.revision)
-        self.gossip.spread_rumour()
+        self.gossip.announce_revision()
 
     def members_changed(self) -> None:
         """Updates the router with the current members."""
@@ -239,7 +239,7 @@
     def request_stop(self) -> None:
         """Starts a graceful shutdown; a second request ends it at once."""
         if self.stopping.is_set():
-            self.hurry.set()
+            self.stop_now.set()
         self.stopping.set()
 
     def stop_listening(self) -> None:
--- a/src/currantcart/node/dispatch.py
+++ b/src/currantcart/node/dispatch.py
@@ -31,11 +31,11 @@
         """Number of calls running and waiting."""
 
     def refuse(
-        self, incoming: incoming_module.Incoming, fault: errors.Refusal
+        self, incoming: incoming_module.Incoming, refusal: errors.Refusal
     ) -> None:
         """Sends a refusal to the caller's node."""
 
-    def note(
+    def record_event(
         self,
         event: record.Event,
         incoming: incoming_module.Incoming,
@@ -50,8 +50,8 @@
 
     Attributes:
       connection: The connection to the target, once it is leased.
-      pump: Task that sends a streamed request body.
-      clean: Whether the connection may be used for another request.
+      body_task: Task that sends a streamed request body.
+      reusable: Whether the connection may be used for another request.
       answered: Whether the head of an answer was sent to the caller's node.
       handed_over: Whether any byte may have been sent to the target.
       latency_ms: Time that the target took to answer. None if it is no measure
@@ -66,8 +66,8 @@
         self.guard = guard
         self.incoming = incoming
         self.connection: client.TargetConnection | None = None
-        self.pump: asyncio.Task[None] | None = None
-        self.clean = False
+        self.body_task: asyncio.Task[None] | None = None
+        self.reusable = False
         self.answered = False
         self.handed_over = False
         self.latency_ms: float | None = None
@@ -95,17 +95,17 @@
         if not opening.last:
             self.incoming.stream.read_nowait()
             self.incoming.stream.grant_body()
-            self.pump = self.guard.context.loop.create_task(
+            self.body_task = self.guard.context.loop.create_task(
                 self.send_body(self.connection)
             )
         answer = await self.await_answer(self.connection)
         if opening.last:
             self.latency_ms = clock.now() - started_ms
         self.status = answer.message.code
-        if self.is_not_run(answer):
+        if self.refuse_if_not_run(answer):
             return
         await self.relay(answer)
-        self.clean = self.pump is None or self.pump.done()
+        self.reusable = self.body_task is None or self.body_task.done()
 
     def request_headers(self, token: str) -> CIMultiDict[str]:
         """Returns the headers of the request to the target."""
@@ -125,15 +125,15 @@
         Raises:
           Exception: The request body failed first; its error is raised.
         """
-        if self.pump is None:
+        if self.body_task is None:
             return await connection.answer()
         waiting = asyncio.ensure_future(connection.answer())
         try:
             await asyncio.wait(
-                {waiting, self.pump}, return_when=asyncio.FIRST_COMPLETED
+                {waiting, self.body_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            if self.pump.done() and not waiting.done():
-                self.pump.result()
+            if self.body_task.done() and not waiting.done():
+                self.body_task.result()
             return await waiting
         finally:
             waiting.cancel()
@@ -147,19 +147,19 @@
             if stream.at_end:
                 return
 
-    def is_not_run(self, answer: client.TargetAnswer) -> bool:
+    def refuse_if_not_run(self, answer: client.TargetAnswer) -> bool:
         """Refuses the call if the target reports overload and not running it.
 
         Returns:
           Whether the call was refused.
         """
         self.overloaded = answer.message.code in OVERLOAD_STATUSES
-        says_not_run = (
+        reports_not_run = (
             answer.message.headers.get(headers.NOT_RUN, "").lower() == "true"
         )
-        if not (self.overloaded and says_not_run):
+        if not (self.overloaded and reports_not_run):
             return False
-        self.clean = answer.body.is_eof()
+        self.reusable = answer.body.is_eof()
         self.refuse(
             incoming_module.refusal(
                 errors.Code.OVERLOADED,
@@ -201,7 +201,7 @@
                 last=last,
             )
         )
-        guard.note(
+        guard.record_event(
             record.Event.ANSWERED, self.incoming, detail=str(message.code)
         )
         if last:
@@ -232,17 +232,17 @@
             )
         )
 
-    def refuse(self, fault: errors.Refusal) -> None:
+    def refuse(self, refusal: errors.Refusal) -> None:
         """Sends a refusal to the caller's node."""
-        self.guard.refuse(self.incoming, fault)
+        self.guard.refuse(self.incoming, refusal)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Resets a call whose caller has left, or that a shutdown cuts."""
         self.incoming.stream.reset(errors.Code.CANCELLED, "cancelled")
 
     def close(self) -> None:
-        """Returns the connection to the pool, which closes it unless clean."""
-        if self.pump is not None and not self.pump.done():
-            self.pump.cancel()
+        """Returns the connection to the pool; it is closed unless reusable."""
+        if self.body_task is not None and not self.body_task.done():
+            self.body_task.cancel()
         if self.connection is not None:
-            self.guard.pool.release(self.connection, clean=self.clean)
+            self.guard.pool.release(self.connection, clean=self.reusable)
--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -107,7 +107,7 @@
         entry = self.members.entries.get(instance)
         try:
             if entry is not None:
-                stream = await self.links.reach(entry.member)
+                stream = await self.links.connect(entry.member)
             else:
                 stream = await self.links.dial(address)
             stream.send(messages.Fetch(self.context.config.revision))
--- a/src/currantcart/node/drain.py
+++ b/src/currantcart/node/drain.py
@@ -25,14 +25,14 @@
     context = node.context
     announce_leave(node)
     finishing = context.loop.create_task(finish_calls(node))
-    hurrying = context.loop.create_task(node.hurry.wait())
+    stopping_now = context.loop.create_task(node.stop_now.wait())
     await asyncio.wait(
-        {finishing, hurrying},
+        {finishing, stopping_now},
         timeout=context.settings.drain_ms / 1_000,
         return_when=asyncio.FIRST_COMPLETED,
     )
     finishing.cancel()
-    hurrying.cancel()
+    stopping_now.cancel()
     cut = node.guard.cancel_running() + len(caller_tasks(node))
     context.logger.info("drained", calls_cut=cut)
     return cut
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -11,8 +11,8 @@
 from currantcart.graph import model as graph_model
 from currantcart.http1 import headers, server
 from currantcart.membership import model as membership_model
+from currantcart.node import answer_relay, outcome, upload
 from currantcart.node import context as node_context
-from currantcart.node import learning, relay, upload
 from currantcart.node import links as node_links
 from currantcart.routing import router
 from currantcart.telemetry import record
@@ -114,12 +114,12 @@
             attempt = self.choose(attempts)
             try:
                 await self.begin(attempt)
-                refusal = self.judge(attempt)
+                refusal = self.process_head(attempt)
                 if refusal is None:
                     retrying = self.retry_answer(attempt, attempts)
                     if not retrying:
                         return await self.relay(attempt)
-                elif not self.go_on(refusal, attempts):
+                elif not self.retry_refusal(refusal, attempts):
                     try:
                         raise refusal
                     finally:
@@ -156,7 +156,7 @@
                 raise
         candidate.in_flight += 1
         candidate.health.started()
-        self.note(record.Event.ROUTED, candidate.member.instance)
+        self.record_event(record.Event.ROUTED, candidate.member.instance)
         return Attempt(candidate=candidate, lent=call.allowance.lend())
 
     def opening(self, attempt: Attempt) -> messages.Open:
@@ -205,14 +205,14 @@
         """Opens the stream of an attempt, locally or to a peer."""
         opening = self.opening(attempt)
         if member.instance == self.context.instance:
-            here, there = connection.join_local(
+            local_end, target_end = connection.join_local(
                 opening, instance=member.instance, loop=self.context.loop
             )
-            self.forwarder.arrive(opening, there)
-            return here
-        link = self.forwarder.links.current(member.instance)
+            self.forwarder.arrive(opening, target_end)
+            return local_end
+        link = self.forwarder.links.usable_stream(member.instance)
         if link is None:
-            link = await self.forwarder.links.reach(member)
+            link = await self.forwarder.links.connect(member)
         return link.open(opening)
 
     def failed_head(
@@ -238,7 +238,7 @@
             limit=0.0,
         )
 
-    def judge(self, attempt: Attempt) -> errors.Refusal | None:
+    def process_head(self, attempt: Attempt) -> errors.Refusal | None:
         """Processes the head of an attempt.
 
         Returns:
@@ -247,7 +247,7 @@
         head = attempt.head
         assert head is not None
         self.call.allowance.give_back(head.allowance, lent=attempt.lent)
-        learning.learn(self.context, self.call, attempt.candidate, head)
+        outcome.record(self.context, self.call, attempt.candidate, head)
         if isinstance(head, messages.Answer):
             return None
         return errors.Refusal(
@@ -260,22 +260,24 @@
             shed_level=head.shed_level,
         )
 
-    def go_on(self, refusal: errors.Refusal, attempts: retry.Attempts) -> bool:
+    def retry_refusal(
+        self, refusal: errors.Refusal, attempts: retry.Attempts
+    ) -> bool:
         """Decides whether another attempt follows a refusal."""
-        attempts.replayable = not self.upload.taken
+        attempts.replayable = not self.upload.streamed
         if not refusal.not_run:
             self.earlier_unknown = True
         if not self.context.controlled:
-            return self.go_on_naively(attempts)
+            return self.retry_naively(attempts)
         following = attempts.after_refusal(
             code=refusal.code,
             not_run=refusal.not_run,
             remaining=self.call.allowance,
             budget=self.context.budget,
         )
-        return self.note_next(following, refusal.code)
+        return self.record_next(following, refusal.code)
 
-    def go_on_naively(self, attempts: retry.Attempts) -> bool:
+    def retry_naively(self, attempts: retry.Attempts) -> bool:
         """Retries as a plain proxy does; the baseline without control."""
         attempts.retries += 1
         return attempts.replayable and attempts.retries < NAIVE_ATTEMPTS
@@ -284,9 +286,9 @@
         """Decides whether another attempt follows an answer of the target."""
         answer = attempt.head
         assert isinstance(answer, messages.Answer)
-        attempts.replayable = not self.upload.taken
+        attempts.replayable = not self.upload.streamed
         if not self.context.controlled:
-            return answer.status >= 500 and self.go_on_naively(attempts)
+            return answer.status >= 500 and self.retry_naively(attempts)
         following = attempts.after_status(
             answer.status,
             remaining=self.call.allowance,
@@ -294,9 +296,9 @@
         )
         if following is retry.Next.RETRY:
             self.earlier_unknown = True
-        return self.note_next(following, str(answer.status))
+        return self.record_next(following, str(answer.status))
 
-    def note_next(self, following: retry.Next, why: str) -> bool:
+    def record_next(self, following: retry.Next, why: str) -> bool:
         """Records what follows a failed attempt.
 
         Returns:
@@ -312,7 +314,7 @@
         self.context.metrics.retries.labels(
             self.call.service, following.value
         ).inc()
-        self.note(event, "", detail=why)
+        self.record_event(event, "", detail=why)
         return True
 
     async def relay(self, attempt: Attempt) -> messages.Answer:
@@ -320,8 +322,8 @@
         answer, stream = attempt.head, attempt.stream
         assert isinstance(answer, messages.Answer)
         assert stream is not None
-        await relay.relay(self.exchange, self.call, answer, stream)
-        self.note(record.Event.ANSWERED, "", detail=str(answer.status))
+        await answer_relay.relay(self.exchange, self.call, answer, stream)
+        self.record_event(record.Event.ANSWERED, "", detail=str(answer.status))
         return answer
 
     def end(self, attempt: Attempt) -> None:
@@ -333,7 +335,9 @@
         if attempt.stream is not None:
             attempt.stream.reset(errors.Code.CANCELLED, "given up")
 
-    def note(self, event: record.Event, peer: str, *, detail: str = "") -> None:
+    def record_event(
+        self, event: record.Event, peer: str, *, detail: str = ""
+    ) -> None:
         """Records a decision on the call."""
         self.context.recorder.note(
             event,
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -19,11 +19,12 @@
 
     Attributes:
       detector: Decides which datagrams are sent.
-      on_news: Called when the member table changed.
-      on_lack: Called with instance and address of a sender that has state
-        which this node is missing.
+      on_members_changed: Called when the member table changed.
+      on_missing_state: Called with instance and address of a sender that has
+        state which this node is missing.
       key: Key that authenticates datagrams.
-      table_version: Version of the member table last passed to `on_news`.
+      table_version: Version of the member table at the latest call of
+        `on_members_changed`.
       bytes_sent: Bytes of datagrams sent, as a measure of control traffic.
     """
 
@@ -32,13 +33,13 @@
         context: node_context.NodeContext,
         *,
         failure_detector: detector.Detector,
-        on_news: Callable[[], None],
-        on_lack: Callable[[str, str], None],
+        on_members_changed: Callable[[], None],
+        on_missing_state: Callable[[str, str], None],
     ) -> None:
         self.context = context
         self.detector = failure_detector
-        self.on_news = on_news
-        self.on_lack = on_lack
+        self.on_members_changed = on_members_changed
+        self.on_missing_state = on_missing_state
         self.key = messages.derive_key(context.settings.secret())
         self.transport: asyncio.DatagramTransport | None = None
         self.table_version = -1
@@ -59,11 +60,11 @@
         now = self.context.clock.now()
         self.context.isolation.heard_peer(now)
         self.send(self.detector.receive(datagram, now))
-        self.check_news()
+        self.notify_changes()
         if datagram.revision > self.context.config.revision:
-            self.on_lack(datagram.sender, datagram.sender_address)
+            self.on_missing_state(datagram.sender, datagram.sender_address)
         for stranger in self.detector.take_strangers():
-            self.on_lack(stranger.sender, stranger.sender_address)
+            self.on_missing_state(stranger.sender, stranger.sender_address)
 
     def send(self, outgoing: list[detector.Outgoing]) -> None:
         """Encodes and sends datagrams."""
@@ -76,28 +77,28 @@
                 data, settings_model.split_address(item.address)
             )
 
-    def check_news(self) -> None:
+    def notify_changes(self) -> None:
         """Notifies the node if the member table has changed."""
         if self.table_version != self.detector.table.version:
             self.table_version = self.detector.table.version
-            self.on_news()
+            self.on_members_changed()
 
     async def run(self) -> None:
         """Runs the failure detector's ticks until cancelled."""
         while True:
             self.detector.revision = self.context.config.revision
             self.send(self.detector.tick(self.context.clock.now()))
-            self.check_news()
+            self.notify_changes()
             await asyncio.sleep(TICK_SECONDS)
 
     def announce(self) -> None:
         """Sends this node's entry to all peers at once."""
         self.detector.revision = self.context.config.revision
         self.send(self.detector.farewell())
-        self.check_news()
+        self.notify_changes()
 
-    def spread_rumour(self) -> None:
+    def announce_revision(self) -> None:
         """Sends a new revision to a few random peers, which disseminate it."""
         self.detector.revision = self.context.config.revision
         self.send(self.detector.rumour())
-        self.check_news()
+        self.notify_changes()
--- a/src/currantcart/node/guard.py
+++ b/src/currantcart/node/guard.py
@@ -26,7 +26,7 @@
       pool: Connections to the target; calls use no others.
       queued: Calls that wait, by the `id` of their queue entry.
       running: Tasks of the calls at the target.
-      expiry: Timer of the next search for expired calls.
+      expiry_timer: Timer of the next search for expired calls.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
@@ -47,7 +47,7 @@
         )
         self.queued: dict[int, incoming_module.Incoming] = {}
         self.running: set[asyncio.Task[None]] = set()
-        self.expiry: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
 
     def arrive(
         self, opening: messages.Open, stream: call_stream.CallStream
@@ -55,9 +55,9 @@
         """Runs a call, queues it, or refuses it at once."""
         now = self.context.clock.now()
         incoming = arrival.build(self.context, opening, stream, now)
-        fault = arrival.precheck(self.context, opening)
-        if fault is not None:
-            self.refuse(incoming, fault)
+        refusal = arrival.precheck(self.context, opening)
+        if refusal is not None:
+            self.refuse(incoming, refusal)
             return
         offer = self.admission.offer(incoming.waiting, now)
         for dropped in offer.dropped:
@@ -65,28 +65,28 @@
         if offer.verdict is controller.Verdict.RUN:
             self.start(incoming)
         elif offer.verdict is controller.Verdict.WAIT:
-            self.wait(incoming)
+            self.enqueue(incoming)
         else:
             assert offer.reason is not None
             self.shed(incoming, offer.reason)
 
-    def wait(self, incoming: incoming_module.Incoming) -> None:
+    def enqueue(self, incoming: incoming_module.Incoming) -> None:
         """Queues a call until a slot is free or it is dropped."""
         self.queued[id(incoming.waiting)] = incoming
         incoming.stream.on_reset = lambda: self.abandon(incoming)
-        self.note(record.Event.QUEUED, incoming)
-        if self.expiry is None:
-            self.expiry = self.context.loop.call_later(
+        self.record_event(record.Event.QUEUED, incoming)
+        if self.expiry_timer is None:
+            self.expiry_timer = self.context.loop.call_later(
                 EXPIRY_PERIOD_SECONDS, self.expire
             )
 
     def expire(self) -> None:
         """Drops expired calls, periodically while any are queued."""
-        self.expiry = None
+        self.expiry_timer = None
         for dropped in self.admission.expire(self.context.clock.now()):
             self.drop(dropped)
         if self.queued:
-            self.expiry = self.context.loop.call_later(
+            self.expiry_timer = self.context.loop.call_later(
                 EXPIRY_PERIOD_SECONDS, self.expire
             )
 
@@ -94,7 +94,9 @@
         """Removes a queued call whose caller has left."""
         if self.queued.pop(id(incoming.waiting), None) is not None:
             self.admission.abandon(incoming.waiting)
-            self.note(record.Event.CANCELLED, incoming, detail="while waiting")
+            self.record_event(
+                record.Event.CANCELLED, incoming, detail="while waiting"
+            )
             self.end_hop(incoming, status=0)
 
     def drop(self, dropped: controller.Dropped) -> None:
@@ -106,7 +108,7 @@
     ) -> None:
         """Refuses a call because of overload."""
         self.context.metrics.shed.labels(reason).inc()
-        self.note(record.Event.SHED, incoming, detail=reason)
+        self.record_event(record.Event.SHED, incoming, detail=reason)
         self.refuse(
             incoming,
             incoming_module.refusal(
@@ -119,20 +121,20 @@
         )
 
     def refuse(
-        self, incoming: incoming_module.Incoming, fault: errors.Refusal
+        self, incoming: incoming_module.Incoming, refusal: errors.Refusal
     ) -> None:
         """Sends a refusal to the caller's node."""
-        self.end_hop(incoming, status=fault.status)
+        self.end_hop(incoming, status=refusal.status)
         now = self.context.clock.now()
         incoming.stream.refuse(
             messages.Refuse(
                 call_number=incoming.stream.call_number,
-                code=fault.code,
-                step=fault.step,
-                peer=fault.peer or self.context.instance,
-                detail=fault.detail,
-                not_run=fault.not_run,
-                retry_after_ms=fault.retry_after_ms,
+                code=refusal.code,
+                step=refusal.step,
+                peer=refusal.peer or self.context.instance,
+                detail=refusal.detail,
+                not_run=refusal.not_run,
+                retry_after_ms=refusal.retry_after_ms,
                 allowance=incoming.call.allowance.remaining,
                 shed_level=max(
                     incoming.call.shed_level, self.admission.shed_level(now)
@@ -151,7 +153,7 @@
         """Runs an admitted call."""
         task = eager.start(self.context.loop, self.run(incoming))
         if task is not None:
-            self.watch(incoming, task)
+            self.track(incoming, task)
 
     def start_later(self, incoming: incoming_module.Incoming) -> None:
         """Runs an admitted call from the next iteration of the event loop.
@@ -159,9 +161,9 @@
         A call that fails at once frees its slot for the next one. Starting
         that one directly would recurse as deep as the queue is long.
         """
-        self.watch(incoming, self.context.loop.create_task(self.run(incoming)))
+        self.track(incoming, self.context.loop.create_task(self.run(incoming)))
 
-    def watch(
+    def track(
         self, incoming: incoming_module.Incoming, task: asyncio.Task[None]
     ) -> None:
         """Tracks the task of a running call, and cancels it on a reset."""
@@ -203,9 +205,9 @@
         Returns:
           Whether the call was started.
         """
-        fault = arrival.check_key(self.context, incoming.opening)
-        if fault is not None:
-            self.refuse(incoming, fault)
+        refusal = arrival.check_key(self.context, incoming.opening)
+        if refusal is not None:
+            self.refuse(incoming, refusal)
             return False
         self.start_later(incoming)
         return True
@@ -214,7 +216,7 @@
         """Runs a call at the target, until its deadline at the latest."""
         attempt = dispatch.Dispatch(self, incoming)
         token = self.context.active.begin(incoming.call)
-        self.note(record.Event.RUNNING, incoming)
+        self.record_event(record.Event.RUNNING, incoming)
         try:
             remaining_ms = incoming.call.deadline_ms - self.context.clock.now()
             with eager.Expiry(
@@ -225,16 +227,16 @@
                 await attempt.run(token)
         except TimeoutError:
             attempt.fail(errors.Code.DEADLINE_EXCEEDED, "the deadline passed")
-        except errors.Refusal as fault:
-            attempt.refuse(fault)
+        except errors.Refusal as refusal:
+            attempt.refuse(refusal)
         except errors.StreamError:
-            self.note(record.Event.CANCELLED, incoming)
+            self.record_event(record.Event.CANCELLED, incoming)
         except client.TRANSPORT_ERRORS as error:
             reason = str(error) or type(error).__name__
             attempt.fail(errors.Code.TARGET_FAILED, reason)
         except asyncio.CancelledError:
-            self.note(record.Event.CANCELLED, incoming)
-            attempt.cut()
+            self.record_event(record.Event.CANCELLED, incoming)
+            attempt.abort()
         finally:
             self.context.active.end(incoming.call)
             attempt.close()
@@ -256,7 +258,7 @@
                 status=status,
             )
 
-    def note(
+    def record_event(
         self,
         event: record.Event,
         incoming: incoming_module.Incoming,
--- a/src/currantcart/node/ingress.py
+++ b/src/currantcart/node/ingress.py
@@ -12,8 +12,8 @@
 from currantcart.node import (
     forward,
     intake,
-    learning,
     operations,
+    outcome,
     problem,
     rates,
 )
@@ -78,7 +78,9 @@
             exchange.abort()
         except asyncio.CancelledError:
             if call is not None:
-                self.note(record.Event.CANCELLED, call, "the caller left")
+                self.record_event(
+                    record.Event.CANCELLED, call, "the caller left"
+                )
             exchange.abort()
         except Exception:
             # A bug must not stop the node; it is logged with its traceback.
@@ -91,13 +93,13 @@
         Raises:
           errors.Refusal: The call is over its workspace's rate or is shed.
         """
-        self.note(record.Event.ACCEPTED, call, call.workspace)
+        self.record_event(record.Event.ACCEPTED, call, call.workspace)
         if not self.context.controlled:
             return
         if call.parent is None:
             await self.rates.admit(call.workspace)
         now = self.context.clock.now()
-        if not self.context.throttle.admit(learning.stream_of(call), now):
+        if not self.context.throttle.admit(outcome.stream_of(call), now):
             level = self.context.throttle.level(call.service, now)
             if call.parent is not None:
                 # The level is sent upstream with the answer of the parent.
@@ -179,7 +181,7 @@
         call_id = ""
         if call is not None:
             call_id = call.call_id
-            self.note(
+            self.record_event(
                 record.Event.REFUSED, call, f"{refusal.code}: {refusal.detail}"
             )
         if exchange.started:
@@ -197,7 +199,7 @@
         except ConnectionError:
             exchange.abort()
 
-    def note(
+    def record_event(
         self, event: record.Event, call: call_model.Call, detail: str
     ) -> None:
         """Records a decision on a call."""
--- a/src/currantcart/node/intake.py
+++ b/src/currantcart/node/intake.py
@@ -49,8 +49,8 @@
             "the path must start with /SERVICE",
         )
     end = len(raw)
-    for mark in "/?":
-        found = raw.find(mark, 1)
+    for separator in "/?":
+        found = raw.find(separator, 1)
         if found != -1:
             end = min(end, found)
     rest = raw[end:]
@@ -95,14 +95,14 @@
         self.call_ids = new_call_ids()
 
     def check(
-        self, method: str, raw_path: str, given: CIMultiDictProxy[str]
+        self, method: str, raw_path: str, fields: CIMultiDictProxy[str]
     ) -> call_model.Call:
         """Validates the head of a request and builds the call.
 
         Args:
           method: HTTP method.
           raw_path: Path and query of the request.
-          given: Headers of the request.
+          fields: Headers of the request.
 
         Raises:
           errors.Refusal: A check failed; the call was not forwarded.
@@ -110,9 +110,9 @@
         now = self.context.clock.now()
         view = self.context.config.require()
         name, path = split_path(raw_path)
-        timeout_ms = deadline.parse_timeout(given.get(headers.TIMEOUT))
-        check_idempotency_key(given.get(headers.IDEMPOTENCY_KEY))
-        origin = self.find_origin(view, given, now)
+        timeout_ms = deadline.parse_timeout(fields.get(headers.TIMEOUT))
+        check_idempotency_key(fields.get(headers.IDEMPOTENCY_KEY))
+        origin = self.find_origin(view, fields, now)
         service = find_service(view, name, origin.parent)
         route = service.route(method, path)
         deadline_ms = deadline.earliest(
@@ -132,13 +132,13 @@
             service,
             Target(route, method, path),
             deadline_ms=deadline_ms,
-            traceparent=given.get(headers.TRACEPARENT, ""),
+            traceparent=fields.get(headers.TRACEPARENT, ""),
         )
 
     def find_origin(
         self,
         view: config_view.View,
-        given: CIMultiDictProxy[str],
+        fields: CIMultiDictProxy[str],
         now: float,
     ) -> Origin:
         """Authenticates a call by its context token or its API key.
@@ -147,7 +147,7 @@
           errors.Refusal: The token or key is not valid or both are missing,
             or the call has no token and this node is isolated.
         """
-        token = given.get(headers.CONTEXT)
+        token = fields.get(headers.CONTEXT)
         if token is not None:
             parent = self.context.active.parent(token, now=now)
             if parent.key_id not in view.key_ids:
@@ -163,14 +163,14 @@
                 errors.Step.AUTHENTICATE,
                 "this node is isolated and may have missed key withdrawals",
             )
-        shown = headers.bearer_key(given.get(headers.AUTHORIZATION))
-        if shown is None:
+        api_key = headers.bearer_key(fields.get(headers.AUTHORIZATION))
+        if api_key is None:
             raise refuse(
                 errors.Code.KEY_MISSING,
                 errors.Step.AUTHENTICATE,
                 "the call has neither an API key nor a call context",
             )
-        key = view.keys_by_digest.get(workspace_model.digest_of(shown))
+        key = view.keys_by_digest.get(workspace_model.digest_of(api_key))
         if key is None:
             raise refuse(
                 errors.Code.KEY_UNKNOWN,
@@ -198,8 +198,8 @@
         parent = origin.parent
         depth = parent.depth + 1 if parent else 0
         check_depth(depth)
-        wanted = parent.importance if parent else target.route.importance
-        importance = min(wanted, service.max_importance)
+        requested = parent.importance if parent else target.route.importance
+        importance = min(requested, service.max_importance)
         return call_model.Call(
             call_id=call_id,
             root_id=parent.root_id if parent else call_id,
--- a/src/currantcart/node/links.py
+++ b/src/currantcart/node/links.py
@@ -94,12 +94,12 @@
         self.accepted.add(stream)
         return stream
 
-    def current(self, instance: str) -> connection.Connection | None:
+    def usable_stream(self, instance: str) -> connection.Connection | None:
         """Returns a usable stream to a peer, or None without one."""
         stream = self.streams.get(instance)
         return stream if stream is not None and stream.usable else None
 
-    async def reach(
+    async def connect(
         self, member: membership_model.Member
     ) -> connection.Connection:
         """Returns a stream to a peer; concurrent callers share one dial.
@@ -107,7 +107,7 @@
         Raises:
           errors.StreamError: The peer cannot be reached.
         """
-        stream = self.current(member.instance)
+        stream = self.usable_stream(member.instance)
         if stream is not None:
             return stream
         task = self.dialling.get(member.instance)
@@ -143,7 +143,7 @@
         self.streams[stream.peer] = stream
         return stream
 
-    def forget(self, stream: connection.Connection) -> None:
+    def remove(self, stream: connection.Connection) -> None:
         """Removes a stream that has ended."""
         self.accepted.discard(stream)
         if self.streams.get(stream.peer) is stream:
--- a/src/currantcart/node/operations.py
+++ b/src/currantcart/node/operations.py
@@ -59,12 +59,12 @@
             workspace=call.workspace,
             method=call.method,
             path=call.path,
-            body=await self.whole_body(exchange),
+            body=await self.read_body(exchange),
             claim_id=call.call_id,
         )
         return await self.register.claim(operation)
 
-    async def whole_body(self, exchange: server.Exchange) -> bytes:
+    async def read_body(self, exchange: server.Exchange) -> bytes:
         """Reads the complete body, which the fingerprint covers.
 
         Raises:
--- a/src/currantcart/node/learning.py
+++ b/src/currantcart/node/outcome.py
@@ -32,7 +32,7 @@
     return throttle.Stream(call.service, call.workspace, call.priority)
 
 
-def learn(
+def record(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
@@ -48,12 +48,12 @@
             now=context.clock.now(),
         )
     if isinstance(head, messages.Answer):
-        learn_from_answer(context, call, candidate, head)
+        record_answer(context, call, candidate, head)
     else:
-        learn_from_refusal(context, call, candidate, head)
+        record_refusal(context, call, candidate, head)
 
 
-def learn_from_answer(
+def record_answer(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
@@ -67,12 +67,12 @@
         candidate.health.failed(context.clock.now())
     else:
         candidate.health.succeeded()
-    note_shedding(
+    record_shedding(
         context, call, accepted=not shed_below, shed_level=answer.shed_level
     )
 
 
-def learn_from_refusal(
+def record_refusal(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
@@ -83,7 +83,7 @@
         candidate.health.failed(context.clock.now())
     else:
         candidate.health.released()
-    note_shedding(
+    record_shedding(
         context,
         call,
         accepted=refuse.code != errors.Code.OVERLOADED,
@@ -91,7 +91,7 @@
     )
 
 
-def note_shedding(
+def record_shedding(
     context: node_context.NodeContext,
     call: call_model.Call,
     *,
--- a/src/currantcart/node/rates.py
+++ b/src/currantcart/node/rates.py
@@ -19,7 +19,7 @@
 
 PEERS_ASKED = 4
 ROUND_SECONDS_MAX = 0.05
-DRY_MS = 20.0
+BACKOFF_MS = 20.0
 WANTED_SPAN_MS = 60.0
 WANTED_MIN = 2.0
 
@@ -49,9 +49,9 @@
 
     Attributes:
       rounds: Rounds in progress, by workspace.
-      questions: Round of each unanswered request, by number of the request.
-      dry_until: Time until which no loan is requested, by workspace, because
-        the peers had no tokens to spare.
+      open_requests: Round of each unanswered request, by number of the request.
+      backoff_until: Time until which no loan is requested, by workspace,
+        because the peers had no tokens to spare.
       number: Number of the latest request.
       dialling: Tasks that open a stream to send a request.
     """
@@ -67,8 +67,8 @@
         self.links = links
         self.members = members
         self.rounds: dict[str, Round] = {}
-        self.questions: dict[int, Round] = {}
-        self.dry_until: dict[str, float] = {}
+        self.open_requests: dict[int, Round] = {}
+        self.backoff_until: dict[str, float] = {}
         self.number = 0
         self.dialling: set[asyncio.Task[None]] = set()
 
@@ -90,7 +90,7 @@
             errors.Step.RATE,
             f"workspace {workspace} is over its rate",
             not_run=True,
-            retry_after_ms=held.wait_ms(now) if held else DRY_MS,
+            retry_after_ms=held.wait_ms(now) if held else BACKOFF_MS,
         )
 
     async def take_loan(
@@ -101,7 +101,7 @@
         Returns:
           Whether a token was spent.
         """
-        if now < self.dry_until.get(workspace, 0.0):
+        if now < self.backoff_until.get(workspace, 0.0):
             return False
         present = self.rounds.get(workspace) or self.ask(workspace, held, now)
         if present is None:
@@ -111,7 +111,7 @@
             return True
         # The peers have no tokens to spare. With a round for each further call,
         # a workspace far over its rate would cause messages at every node.
-        self.dry_until[workspace] = self.context.clock.now() + DRY_MS
+        self.backoff_until[workspace] = self.context.clock.now() + BACKOFF_MS
         return False
 
     def ask(
@@ -136,17 +136,17 @@
         )
         self.rounds[workspace] = started
         for peer in peers:
-            self.question(started, peer)
+            self.request_loan(started, peer)
         loop.call_later(ROUND_SECONDS_MAX, self.close, started)
         return started
 
-    def question(self, asked: Round, peer: membership_model.Member) -> None:
+    def request_loan(self, asked: Round, peer: membership_model.Member) -> None:
         """Requests a loan from one peer."""
         self.number += 1
         asked.open.add(self.number)
-        self.questions[self.number] = asked
+        self.open_requests[self.number] = asked
         message = messages.Ask(self.number, asked.workspace, asked.wanted)
-        stream = self.links.current(peer.instance)
+        stream = self.links.usable_stream(peer.instance)
         if stream is not None:
             stream.send(message)
             return
@@ -159,29 +159,29 @@
     ) -> None:
         """Opens a stream to a peer and sends it a request."""
         try:
-            stream = await self.links.reach(peer)
+            stream = await self.links.connect(peer)
         except errors.StreamError:
-            self.answered(messages.Give(message.number, 0.0))
+            self.handle_give(messages.Give(message.number, 0.0))
             return
         stream.send(message)
 
-    def message(
+    def handle_message(
         self,
         message: messages.Ask | messages.Give,
         stream: connection.Connection,
     ) -> None:
         """Answers a peer's loan request, or processes a peer's answer."""
         if isinstance(message, messages.Give):
-            self.answered(message)
+            self.handle_give(message)
             return
         held = self.context.limiter.share_of(message.workspace)
         now = self.context.clock.now()
         given = held.lend(message.amount, now) if held is not None else 0.0
         stream.send(messages.Give(message.number, given))
 
-    def answered(self, give: messages.Give) -> None:
+    def handle_give(self, give: messages.Give) -> None:
         """Adds a granted loan; drops a duplicate or unrequested one."""
-        asked = self.questions.pop(give.number, None)
+        asked = self.open_requests.pop(give.number, None)
         if asked is None:
             return
         asked.open.discard(give.number)
@@ -196,6 +196,6 @@
         if self.rounds.get(asked.workspace) is asked:
             del self.rounds[asked.workspace]
         for number in asked.open:
-            self.questions.pop(number, None)
+            self.open_requests.pop(number, None)
         if not asked.done.done():
             asked.done.set_result(None)
--- a/src/currantcart/node/target_watch.py
+++ b/src/currantcart/node/target_watch.py
@@ -42,7 +42,7 @@
         """
         target = self.context.settings.target
         while True:
-            if await self.takes_connections():
+            if await self.accepts_connections():
                 self.failures = 0
                 self.announce(target.slots)
             else:
@@ -51,7 +51,7 @@
                     self.announce(0)
             await asyncio.sleep(CHECK_SECONDS)
 
-    async def takes_connections(self) -> bool:
+    async def accepts_connections(self) -> bool:
         """Returns whether the target accepts a TCP connection."""
         address = self.context.settings.target.address
         host, port = settings_model.split_address(address)
--- a/src/currantcart/node/upload.py
+++ b/src/currantcart/node/upload.py
@@ -33,8 +33,8 @@
 
     Attributes:
       first: Part that the opening message contains.
-      taken: Whether streaming to a target has begun.
-      pump: Task that streams the body.
+      streamed: Whether streaming to a target has begun.
+      task: Task that streams the body.
     """
 
     def __init__(
@@ -43,27 +43,27 @@
         self.exchange = exchange
         self.loop = loop
         self.first = first_bytes(exchange)
-        self.taken = False
-        self.pump: asyncio.Task[None] | None = None
+        self.streamed = False
+        self.task: asyncio.Task[None] | None = None
 
     def begin(self, stream: call_stream.CallStream) -> None:
         """Starts streaming a body that is not in the opening message."""
         if not self.first.last:
             self.exchange.continue_body()
-            self.pump = self.loop.create_task(self.send(stream))
+            self.task = self.loop.create_task(self.send(stream))
 
     def end(self) -> None:
         """Stops streaming."""
-        if self.pump is not None:
-            self.pump.cancel()
-            self.pump = None
+        if self.task is not None:
+            self.task.cancel()
+            self.task = None
 
     async def send(self, stream: call_stream.CallStream) -> None:
         """Streams the caller's body with backpressure from the target."""
         body = self.exchange.body
         try:
             await stream.wait_for_credit()
-            self.taken = True
+            self.streamed = True
             while not body.at_eof():
                 chunk = await body.readany()
                 await stream.send(chunk, last=body.at_eof())
