--- a/src/currantcart/node/app.py
+++ b/src/currantcart/node/app.py
@@ -55,7 +55,7 @@
         now = clock.now()
         self.store = store
         self.members = table.MemberTable(
-            own=own_member(settings, int(clock.wall())), now=now
+            own=local_member(settings, int(clock.wall())), now=now
         )
         self.guard = guard.Guard(self.context)
         self.links = links.Links(self.context, service=self)
@@ -264,7 +264,7 @@
         await self.admin_runner.cleanup()
 
 
-def own_member(
+def local_member(
     settings: settings_model.Settings, started: int
 ) -> membership_model.Member:
     """Returns the entry that a starting node announces for itself."""
--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -31,7 +31,7 @@
 
 
 def is_watcher(
-    own: membership_model.Member, members: list[membership_model.Member]
+    local: membership_model.Member, members: list[membership_model.Member]
 ) -> bool:
     """Returns whether a node watches the store itself.
 
@@ -42,11 +42,11 @@
     peers = [
         member
         for member in members
-        if member.failure_domain == own.failure_domain
+        if member.failure_domain == local.failure_domain
         and member.status is membership_model.Status.ALIVE
-        and member.instance != own.instance
+        and member.instance != local.instance
     ]
-    before = sum(1 for m in peers if rank(m.instance) < rank(own.instance))
+    before = sum(1 for m in peers if rank(m.instance) < rank(local.instance))
     return before < WATCHERS_PER_DOMAIN
 
 
@@ -153,8 +153,8 @@
         A node without a configuration watches it too, whatever its rank.
         """
         while True:
-            rank_high = is_watcher(self.members.own, self.members.members())
-            if rank_high or self.context.config.view is None:
+            watches = is_watcher(self.members.own, self.members.members())
+            if watches or self.context.config.view is None:
                 try:
                     await self.watch_once()
                     continue
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -333,7 +333,7 @@
             attempt.candidate.health.released()
         self.upload.end()
         if attempt.stream is not None:
-            attempt.stream.reset(errors.Code.CANCELLED, "given up")
+            attempt.stream.reset(errors.Code.CANCELLED, "the attempt has ended")
 
     def record_event(
         self, event: record.Event, peer: str, *, detail: str = ""
--- a/src/currantcart/node/intake.py
+++ b/src/currantcart/node/intake.py
@@ -161,7 +161,7 @@
             raise refuse(
                 errors.Code.NOT_READY,
                 errors.Step.AUTHENTICATE,
-                "this node is isolated and may have missed key withdrawals",
+                "this node is isolated and may have missed withdrawn keys",
             )
         api_key = headers.bearer_key(fields.get(headers.AUTHORIZATION))
         if api_key is None:
--- a/src/currantcart/node/rates.py
+++ b/src/currantcart/node/rates.py
@@ -79,22 +79,26 @@
           errors.Refusal: Neither this node nor the peers that it asked have a
             token.
         """
-        held = self.context.limiter.share_of(workspace)
+        local_share = self.context.limiter.share_of(workspace)
         now = self.context.clock.now()
-        if held is not None:
-            held.count_demand(now)
-            if held.take(now) or await self.take_loan(workspace, held, now):
+        if local_share is not None:
+            local_share.count_demand(now)
+            if local_share.take(now) or await self.take_loan(
+                workspace, local_share, now
+            ):
                 return
         raise errors.Refusal(
             errors.Code.RATE_EXCEEDED,
             errors.Step.RATE,
             f"workspace {workspace} is over its rate",
             not_run=True,
-            retry_after_ms=held.wait_ms(now) if held else BACKOFF_MS,
+            retry_after_ms=local_share.wait_ms(now)
+            if local_share
+            else BACKOFF_MS,
         )
 
     async def take_loan(
-        self, workspace: str, held: share.Share, now: float
+        self, workspace: str, local_share: share.Share, now: float
     ) -> bool:
         """Spends a token after a round of loans, which waiting calls share.
 
@@ -103,11 +107,13 @@
         """
         if now < self.backoff_until.get(workspace, 0.0):
             return False
-        present = self.rounds.get(workspace) or self.ask(workspace, held, now)
+        present = self.rounds.get(workspace) or self.ask(
+            workspace, local_share, now
+        )
         if present is None:
             return False
         await asyncio.shield(present.done)
-        if held.take(self.context.clock.now()):
+        if local_share.take(self.context.clock.now()):
             return True
         # The peers have no tokens to spare. With a round for each further call,
         # a workspace far over its rate would cause messages at every node.
@@ -115,7 +121,7 @@
         return False
 
     def ask(
-        self, workspace: str, held: share.Share, now: float
+        self, workspace: str, local_share: share.Share, now: float
     ) -> Round | None:
         """Starts a round of loan requests; None without an alive peer."""
         others = self.members.others(membership_model.Status.ALIVE)
@@ -128,7 +134,7 @@
             # Loans expire: tokens beyond the demand of the near future would
             # expire unused, and no node could spend them.
             wanted=max(
-                WANTED_MIN, held.demand_over(WANTED_SPAN_MS) / len(peers)
+                WANTED_MIN, local_share.demand_over(WANTED_SPAN_MS) / len(peers)
             ),
             asked_ms=now,
             open=set(),
@@ -140,12 +146,16 @@
         loop.call_later(ROUND_SECONDS_MAX, self.close, started)
         return started
 
-    def request_loan(self, asked: Round, peer: membership_model.Member) -> None:
+    def request_loan(
+        self, loan_round: Round, peer: membership_model.Member
+    ) -> None:
         """Requests a loan from one peer."""
         self.number += 1
-        asked.open.add(self.number)
-        self.open_requests[self.number] = asked
-        message = messages.Ask(self.number, asked.workspace, asked.wanted)
+        loan_round.open.add(self.number)
+        self.open_requests[self.number] = loan_round
+        message = messages.Ask(
+            self.number, loan_round.workspace, loan_round.wanted
+        )
         stream = self.links.usable_stream(peer.instance)
         if stream is not None:
             stream.send(message)
@@ -174,28 +184,32 @@
         if isinstance(message, messages.Give):
             self.handle_give(message)
             return
-        held = self.context.limiter.share_of(message.workspace)
+        local_share = self.context.limiter.share_of(message.workspace)
         now = self.context.clock.now()
-        given = held.lend(message.amount, now) if held is not None else 0.0
-        stream.send(messages.Give(message.number, given))
+        lent = (
+            local_share.lend(message.amount, now)
+            if local_share is not None
+            else 0.0
+        )
+        stream.send(messages.Give(message.number, lent))
 
     def handle_give(self, give: messages.Give) -> None:
         """Adds a granted loan; drops a duplicate or unrequested one."""
-        asked = self.open_requests.pop(give.number, None)
-        if asked is None:
+        loan_round = self.open_requests.pop(give.number, None)
+        if loan_round is None:
             return
-        asked.open.discard(give.number)
-        held = self.context.limiter.share_of(asked.workspace)
-        if held is not None and 0 < give.amount <= asked.wanted:
-            held.borrow(give.amount, asked_ms=asked.asked_ms)
-        if not asked.open:
-            self.close(asked)
-
-    def close(self, asked: Round) -> None:
+        loan_round.open.discard(give.number)
+        local_share = self.context.limiter.share_of(loan_round.workspace)
+        if local_share is not None and 0 < give.amount <= loan_round.wanted:
+            local_share.borrow(give.amount, asked_ms=loan_round.asked_ms)
+        if not loan_round.open:
+            self.close(loan_round)
+
+    def close(self, loan_round: Round) -> None:
         """Ends a round and resumes the calls that wait for it."""
-        if self.rounds.get(asked.workspace) is asked:
-            del self.rounds[asked.workspace]
-        for number in asked.open:
+        if self.rounds.get(loan_round.workspace) is loan_round:
+            del self.rounds[loan_round.workspace]
+        for number in loan_round.open:
             self.open_requests.pop(number, None)
-        if not asked.done.done():
-            asked.done.set_result(None)
+        if not loan_round.done.done():
+            loan_round.done.set_result(None)
--- a/src/currantcart/node/target_watch.py
+++ b/src/currantcart/node/target_watch.py
@@ -69,15 +69,15 @@
         Args:
           slots: Calls that the target runs concurrently; 0 if it is down.
         """
-        own = self.members.own
-        if own.slots == slots or self.context.draining:
+        local = self.members.own
+        if local.slots == slots or self.context.draining:
             return
-        started = int(self.context.clock.wall()) if slots else own.started
+        started = int(self.context.clock.wall()) if slots else local.started
         self.members.announce(
             dataclasses.replace(
-                own,
+                local,
                 slots=slots,
-                incarnation=own.incarnation + 1,
+                incarnation=local.incarnation + 1,
                 started=started,
             ),
             self.context.clock.now(),
--- a/tests/node/test_app.py
+++ b/tests/node/test_app.py
@@ -1,4 +1,4 @@
-"""The whole path through real nodes."""
+"""Calls through complete nodes, and the shutdown of a node."""
 
 from __future__ import annotations
 
@@ -52,7 +52,10 @@
 async def test_leaving_node_still_carries_its_targets_own_calls(
     fleet: World,
 ) -> None:
-    """A node is told to stop while its target works on a call."""
+    """A node is requested to stop while its target is running a call.
+
+    The node must still accept the calls that the target makes for it.
+    """
     place = fleet.places["permits-1"]
     place.target.behaviour.work_ms = 500
     call = asyncio.create_task(fleet.call("grades-1", "/permits/status"))
@@ -66,7 +69,10 @@
 async def test_callers_of_a_leaving_node_are_served_meanwhile(
     fleet: World,
 ) -> None:
-    """Callers stay connected to a node that leaves, and send on."""
+    """Callers stay connected to a leaving node and send more calls.
+
+    They must be served, and each answer must close its connection.
+    """
     place = fleet.places["grades-1"]
     place.target.behaviour.work_ms = 500
     running = asyncio.create_task(fleet.call("grades-1", "/grades/a"))
@@ -83,7 +89,10 @@
 async def test_calls_leave_nothing_to_the_garbage_collector(
     fleet: World,
 ) -> None:
-    """A node serves thousands of calls a second."""
+    """Reference cycles left by calls would cause long collector pauses.
+
+    A node serves thousands of calls a second.
+    """
     calls = 50
     for _ in range(5):
         await fleet.call("permits-1", "/grades/a")
@@ -92,7 +101,7 @@
     try:
         for _ in range(calls):
             await fleet.call("permits-1", "/grades/a")
-        # The caller's side of the test leaves a few of its own.
+        # The client in this test leaves a few cycles itself.
         assert gc.collect() < 10 * calls
     finally:
         gc.enable()
--- a/tests/node/test_distribute.py
+++ b/tests/node/test_distribute.py
@@ -1,4 +1,4 @@
-"""Configuration reaches all nodes and never goes back."""
+"""The configuration reaches all nodes, and its revision never decreases."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 async def test_older_store_changes_nothing(fleet: World) -> None:
-    """The store is restored from a copy of yesterday."""
+    """The store is restored from an older backup."""
     fleet.configure(without_key(7))
     await asyncio.sleep(3)
     fleet.configure(without_key(3))
@@ -98,7 +98,7 @@
 async def test_background_task_that_fails_runs_again(
     fleet: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A fault of ours ends the watch of the store."""
+    """A bug raises an exception in the task that watches the store."""
     faults = iter([True, True])
     watch_once = distribute.Distributor.watch_once
 
@@ -134,7 +134,11 @@
 
 
 async def test_isolated_node_stops_within_a_bound(fleet: World) -> None:
-    """A node loses all peers and the store while a key is withdrawn."""
+    """A key is withdrawn while a node reaches neither peers nor the store.
+
+    The node must stop accepting keys, and must not accept the withdrawn key
+    once it is connected again.
+    """
     names = list(fleet.places)
     node = fleet.places[names[0]].node
     for other in names[1:]:
@@ -164,7 +168,11 @@
 async def test_long_queue_of_a_withdrawn_key_ends_at_once(
     world: World,
 ) -> None:
-    """A flooding caller's key is withdrawn while all its calls wait."""
+    """A key is withdrawn while nearly 1000 of its calls wait in a queue.
+
+    Each refused call frees a slot for the next one; if that one were started
+    by a nested call, the recursion limit would be exceeded.
+    """
     place = await world.start("grades-1", "grades", slots=100, work_ms=500)
     await world.settle()
     admission = place.node.guard.admission
--- a/tests/node/test_intake.py
+++ b/tests/node/test_intake.py
@@ -1,4 +1,4 @@
-"""Call contexts, the graph and deadlines at a node's way in."""
+"""Call contexts, the service graph and deadlines at the ingress node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def context_of_running_call(fleet: World) -> tuple[str, Any]:
-    """Starts a long call at permits-1 and returns its context."""
+    """Starts a long call at permits-1; returns its context and its task."""
     node = fleet.places["permits-1"].node
     fleet.places["permits-1"].target.behaviour.work_ms = 1_000
     seen: list[str] = []
@@ -36,7 +36,7 @@
     return seen[0], task
 
 
-async def test_context_serves_at_its_node_while_its_call_runs(
+async def test_context_is_valid_at_its_node_while_its_call_runs(
     fleet: World,
 ) -> None:
     token, task = await context_of_running_call(fleet)
@@ -62,7 +62,7 @@
 
 
 async def test_child_never_outlives_its_parent(fleet: World) -> None:
-    """A parent has 200 ms left and calls a service that takes a second."""
+    """A parent with 200 ms left calls a service that takes a second."""
     fleet.places["grades-1"].target.behaviour.work_ms = 1_000
     reply = await fleet.call(
         "grades-1", "/permits/status", Currantcart_Timeout_Ms="200"
@@ -78,10 +78,14 @@
     assert (reply.status, reply.code) == (401, "key_missing")
 
 
-async def test_given_up_call_is_told_at_once_and_when_to_come_back(
+async def test_dropped_call_is_refused_at_once_with_a_retry_delay(
     fleet: World,
 ) -> None:
-    """A target is full for long; its callers must not wait for a refusal."""
+    """A target is saturated for longer than its callers can wait.
+
+    They must be refused at once, with a Retry-After, rather than at their
+    deadlines.
+    """
     target = fleet.places["grades-1"].target
     target.behaviour.work_ms = 2_000
     await fleet.call("grades-1", "/grades/a")
@@ -93,7 +97,7 @@
     )
     refused = [reply for reply in replies if reply.code == "overloaded"]
     assert refused
-    # Those that wait are given up when their time left is the target's time.
+    # Queued calls are dropped when their remaining time is the service time.
     given_up_at = 3.0 - 2.0
     assert all(reply.seconds < given_up_at + 0.05 for reply in refused)
     at_once = [reply for reply in refused if reply.seconds < 0.05]
--- a/tests/node/test_links.py
+++ b/tests/node/test_links.py
@@ -28,7 +28,7 @@
 def write_authority(
     folder: pathlib.Path,
 ) -> tuple[x509.Certificate, ec.EllipticCurvePrivateKey]:
-    """Makes an authority and writes its certificate."""
+    """Creates a certificate authority and writes its certificate."""
     key = ec.generate_private_key(ec.SECP256R1())
     constraint = x509.BasicConstraints(ca=True, path_length=None)
     certificate = (
@@ -57,7 +57,7 @@
 
 
 def make_tls(folder: pathlib.Path) -> settings_model.Tls:
-    """Makes an authority and an instance's certificate."""
+    """Creates an authority and the certificate of an instance."""
     folder.mkdir()
     _, authority = write_authority(folder)
     key = ec.generate_private_key(ec.SECP256R1())
@@ -86,7 +86,7 @@
 async def exchange(
     server: ssl.SSLContext | None, client: ssl.SSLContext | None
 ) -> bytes:
-    """Sends a line to an echoing server and returns the answer."""
+    """Sends a line to an echo server and returns the answer."""
 
     async def echo(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -117,13 +117,13 @@
         return runner.run(exchange(server, client))
 
 
-def test_instances_of_one_authority_talk(tmp_path: pathlib.Path) -> None:
+def test_instances_of_one_authority_connect(tmp_path: pathlib.Path) -> None:
     tls = make_tls(tmp_path / "a")
     server, client = links.server_tls(tls), links.client_tls(tls)
     assert run_exchange(server, client) == b"call\n"
 
 
-def test_instance_of_another_authority_gets_nothing(
+def test_instance_of_another_authority_is_rejected(
     tmp_path: pathlib.Path,
 ) -> None:
     server = links.server_tls(make_tls(tmp_path / "a"))
@@ -132,15 +132,15 @@
         run_exchange(server, client)
 
 
-def test_caller_without_a_certificate_gets_nothing(
+def test_client_without_a_certificate_is_rejected(
     tmp_path: pathlib.Path,
 ) -> None:
     tls = make_tls(tmp_path / "a")
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     client.check_hostname = False
     client.load_verify_locations(tls.authority)
-    # In TLS 1.3 the refusal may come after the client's handshake is done:
-    # then it shows as an end without an answer.
+    # In TLS 1.3 the server may reject the client after the client's handshake
+    # is complete: the connection then ends without an answer.
     answer = b""
     with contextlib.suppress(ssl.SSLError, ConnectionError):
         answer = run_exchange(links.server_tls(tls), client)
--- a/tests/node/test_operations.py
+++ b/tests/node/test_operations.py
@@ -1,4 +1,4 @@
-"""At most once through real nodes, with repeats, kills and lost answers."""
+"""At-most-once operations through nodes: retries, kills, lost answers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return checkers.operations_ran_once(histories.ran(fleet, "payments"))
 
 
-async def test_repeat_at_another_node_gets_the_first_answer(
+async def test_retry_at_another_node_gets_the_first_answer(
     fleet: World,
 ) -> None:
     first = await fleet.call(
@@ -59,7 +59,7 @@
 async def test_caller_that_retries_hard_everywhere_pays_once(
     fleet: World,
 ) -> None:
-    """A maker's client sends the same fee to all nodes at the same time."""
+    """A client sends the same payment to all nodes at the same time."""
     answers = await asyncio.gather(
         *(pay(fleet, via) for via in fleet.places for _ in range(5))
     )
@@ -68,7 +68,9 @@
     assert runs_twice(fleet) == []
 
 
-async def test_lost_answer_of_the_store_does_not_repeat(fleet: World) -> None:
+async def test_lost_answer_of_the_store_does_not_run_it_twice(
+    fleet: World,
+) -> None:
     fleet.store.lose_answers = 1
     assert await pay(fleet) == "200"
     assert runs_twice(fleet) == []
@@ -77,7 +79,7 @@
 async def test_target_that_dies_with_the_fee_leaves_it_unknown(
     fleet: World,
 ) -> None:
-    """The target is killed after it took the fee and before it answered."""
+    """The target is killed between receiving a payment and answering it."""
     call = asyncio.create_task(pay(fleet))
     await asyncio.sleep(0.03)
     for name in ("payments-1", "payments-2"):
--- a/tests/node/test_rates.py
+++ b/tests/node/test_rates.py
@@ -1,4 +1,4 @@
-"""Rates through real nodes: skew, partitions and lost instances."""
+"""Workspace rates over several nodes: skew, partitions, lost instances."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     fleet: World, via: tuple[str, ...], *, rate: float, seconds: float,
     key: str = "cck_test",
 ) -> tuple[list[float], float]:  # fmt: skip
-    """Sends calls and returns when they were admitted, and the share of it."""
+    """Sends calls; returns times of the admitted ones and their share."""
     admitted: list[float] = []
     calls = []
     total = int(rate * seconds)
@@ -59,7 +59,10 @@
 async def test_traffic_at_one_node_uses_the_whole_fleets_rate(
     fleet: World,
 ) -> None:
-    """A workspace sends all its calls through one node, inside its rate."""
+    """A workspace sends all its calls through one node, within its rate.
+
+    The node alone has a third of the rate, so it has to borrow tokens.
+    """
     admitted, share = await send(fleet, NODES[:1], rate=75, seconds=8)
     assert share > 0.98
     assert checkers.rate_is_kept(admitted, rate=RATE, burst=BURST) == []
@@ -89,7 +92,7 @@
 
 
 async def test_partition_and_loss_never_exceed_the_rate(fleet: World) -> None:
-    """One node is cut off from the others, and another one is killed."""
+    """One node is partitioned from the others, then another one is killed."""
     fleet.loop.cuts.add(frozenset((NODES[0], NODES[1])))
     fleet.loop.cuts.add(frozenset((NODES[0], NODES[2])))
     fleet.loop.drop_connections(NODES[0], NODES[1])
