--- a/src/currantcart/node/dispatch.py
+++ b/src/currantcart/node/dispatch.py
@@ -123,7 +123,9 @@
         """Waits for the head of the answer.
 
         Raises:
-          Exception: The request body failed first; its error is raised.
+          errors.StreamError: The stream of the request body failed first.
+          OSError: The connection to the target failed, or another one of
+            `client.TRANSPORT_ERRORS`.
         """
         if self.body_task is None:
             return await connection.answer()
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -278,7 +278,11 @@
         return self.record_next(following, refusal.code)
 
     def retry_naively(self, attempts: retry.Attempts) -> bool:
-        """Retries as a plain proxy does; the baseline without control."""
+        """Retries as a plain proxy does: the baseline without overload control.
+
+        Returns:
+          Whether another attempt follows.
+        """
         attempts.retries += 1
         return attempts.replayable and attempts.retries < NAIVE_ATTEMPTS
 
