--- a/src/currantcart/node/dispatch.py
+++ b/src/currantcart/node/dispatch.py
@@ -1,4 +1,4 @@
-"""One call at the target: request, answer, and what may go wrong between."""
+"""Sends one call to the target and its answer back to the caller's node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TargetGuard(Protocol):
-    """The guard on whose behalf a call is at the target."""
+    """What a dispatch needs of the guard that started it."""
 
     context: node_context.NodeContext
     host: str
@@ -28,14 +28,14 @@
 
     @property
     def load(self) -> int:
-        """Calls running and waiting."""
+        """Number of calls running and waiting."""
 
     def refuse(
-        self, incoming: incoming_module.Incoming, fault: errors.Refusal
+        self, incoming: incoming_module.Incoming, refusal: errors.Refusal
     ) -> None:
-        """Sends a refusal up."""
+        """Sends a refusal to the caller's node."""
 
-    def note(
+    def record_event(
         self,
         event: record.Event,
         incoming: incoming_module.Incoming,
@@ -49,10 +49,14 @@
     """One call at the target.
 
     Attributes:
-      answered: Whether the head of an answer went up.
-      handed_over: Whether any byte went to the target.
-      latency_ms: Time of the target; None when it says nothing about it.
-      overloaded: Whether the target refused for overload.
+      connection: The connection to the target, once it is leased.
+      body_task: Task that sends a streamed request body.
+      reusable: Whether the connection may be used for another request.
+      answered: Whether the head of an answer was sent to the caller's node.
+      handed_over: Whether any byte may have been sent to the target.
+      latency_ms: Time that the target took to answer. None if it is no measure
+        of the target: for streamed bodies and calls that failed.
+      overloaded: Whether the target refused because of overload.
       status: HTTP status of the answer; 0 without one.
     """
 
@@ -62,8 +66,8 @@
         self.guard = guard
         self.incoming = incoming
         self.connection: client.TargetConnection | None = None
-        self.pump: asyncio.Task[None] | None = None
-        self.clean = False
+        self.body_task: asyncio.Task[None] | None = None
+        self.reusable = False
         self.answered = False
         self.handed_over = False
         self.latency_ms: float | None = None
@@ -71,7 +75,11 @@
         self.status = 0
 
     async def run(self, token: str) -> None:
-        """Sends the request and relays the answer."""
+        """Sends the request to the target and relays the answer.
+
+        Args:
+          token: Context token for the calls that the target makes.
+        """
         opening = self.incoming.opening
         clock = self.guard.context.clock
         self.connection = await self.guard.pool.lease()
@@ -87,20 +95,20 @@
         if not opening.last:
             self.incoming.stream.read_nowait()
             self.incoming.stream.grant_body()
-            self.pump = self.guard.context.loop.create_task(
+            self.body_task = self.guard.context.loop.create_task(
                 self.send_body(self.connection)
             )
         answer = await self.await_answer(self.connection)
         if opening.last:
             self.latency_ms = clock.now() - started_ms
         self.status = answer.message.code
-        if self.is_not_run(answer):
+        if self.refuse_if_not_run(answer):
             return
         await self.relay(answer)
-        self.clean = self.pump is None or self.pump.done()
+        self.reusable = self.body_task is None or self.body_task.done()
 
     def request_headers(self, token: str) -> CIMultiDict[str]:
-        """Returns the headers for the target."""
+        """Returns the headers of the request to the target."""
         opening = self.incoming.opening
         fields = headers.to_multidict(opening.headers)
         fields["Host"] = self.guard.host
@@ -112,22 +120,28 @@
     async def await_answer(
         self, connection: client.TargetConnection
     ) -> client.TargetAnswer:
-        """Waits for the answer's head, or for the body's failure."""
-        if self.pump is None:
+        """Waits for the head of the answer.
+
+        Raises:
+          errors.StreamError: The stream of the request body failed first.
+          OSError: The connection to the target failed, or another one of
+            `client.TRANSPORT_ERRORS`.
+        """
+        if self.body_task is None:
             return await connection.answer()
         waiting = asyncio.ensure_future(connection.answer())
         try:
             await asyncio.wait(
-                {waiting, self.pump}, return_when=asyncio.FIRST_COMPLETED
+                {waiting, self.body_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            if self.pump.done() and not waiting.done():
-                self.pump.result()
+            if self.body_task.done() and not waiting.done():
+                self.body_task.result()
             return await waiting
         finally:
             waiting.cancel()
 
     async def send_body(self, connection: client.TargetConnection) -> None:
-        """Passes the rest of the request's body to the target."""
+        """Streams the rest of the request body to the target."""
         stream = self.incoming.stream
         while True:
             chunk = await stream.read()
@@ -135,15 +149,19 @@
             if stream.at_end:
                 return
 
-    def is_not_run(self, answer: client.TargetAnswer) -> bool:
-        """Handles a target's own refusal for overload."""
+    def refuse_if_not_run(self, answer: client.TargetAnswer) -> bool:
+        """Refuses the call if the target reports overload and not running it.
+
+        Returns:
+          Whether the call was refused.
+        """
         self.overloaded = answer.message.code in OVERLOAD_STATUSES
-        says_not_run = (
+        reports_not_run = (
             answer.message.headers.get(headers.NOT_RUN, "").lower() == "true"
         )
-        if not (self.overloaded and says_not_run):
+        if not (self.overloaded and reports_not_run):
             return False
-        self.clean = answer.body.is_eof()
+        self.reusable = answer.body.is_eof()
         self.refuse(
             incoming_module.refusal(
                 errors.Code.OVERLOADED,
@@ -156,7 +174,7 @@
         return True
 
     async def relay(self, answer: client.TargetAnswer) -> None:
-        """Sends the answer up."""
+        """Sends the answer to the caller's node."""
         guard, stream = self.guard, self.incoming.stream
         body = answer.body
         chunk = body.read_nowait() if body.is_eof() else b""
@@ -185,7 +203,7 @@
                 last=last,
             )
         )
-        guard.note(
+        guard.record_event(
             record.Event.ANSWERED, self.incoming, detail=str(message.code)
         )
         if last:
@@ -200,11 +218,11 @@
         stream.close()
 
     def fail(self, code: errors.Code, detail: str) -> None:
-        """Ends a call that the target did not answer whole."""
+        """Ends a call that the target did not answer completely."""
         self.latency_ms = None
         if self.answered:
-            # Part of the answer is up already; only a cut shows that it is
-            # not the whole.
+            # Part of the answer has been sent already; only a reset shows
+            # that the rest is missing.
             self.incoming.stream.reset(errors.Code.ANSWER_ABORTED, detail)
             return
         self.refuse(
@@ -216,17 +234,17 @@
             )
         )
 
-    def refuse(self, fault: errors.Refusal) -> None:
-        """Sends a refusal up."""
-        self.guard.refuse(self.incoming, fault)
+    def refuse(self, refusal: errors.Refusal) -> None:
+        """Sends a refusal to the caller's node."""
+        self.guard.refuse(self.incoming, refusal)
 
-    def cut(self) -> None:
-        """Ends a call whose caller left, or that a shutdown cuts."""
+    def abort(self) -> None:
+        """Resets a call whose caller has left, or that a shutdown cuts."""
         self.incoming.stream.reset(errors.Code.CANCELLED, "cancelled")
 
     def close(self) -> None:
-        """Returns the connection; a doubtful one is cut."""
-        if self.pump is not None and not self.pump.done():
-            self.pump.cancel()
+        """Returns the connection to the pool; it is closed unless reusable."""
+        if self.body_task is not None and not self.body_task.done():
+            self.body_task.cancel()
         if self.connection is not None:
-            self.guard.pool.release(self.connection, clean=self.clean)
+            self.guard.pool.release(self.connection, clean=self.reusable)
--- a/src/currantcart/node/guard.py
+++ b/src/currantcart/node/guard.py
@@ -1,4 +1,4 @@
-"""The guard of the target: admission, dispatch, and the answer's way back."""
+"""Controls all access to the target: admission, queue and dispatch."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 
 class Guard:
-    """Everything that reaches the target goes through here.
+    """Admits, queues and runs all calls of the local target.
 
     Attributes:
-      admission: Decides what runs.
-      pool: Connections to the target; nobody else opens any.
-      queued: Calls that wait, by their place in the queue.
+      host: Address of the target, for the Host header.
+      admission: Decides which calls run, wait or are refused.
+      pool: Connections to the target; calls use no others.
+      queued: Calls that wait, by the `id` of their queue entry.
       running: Tasks of the calls at the target.
+      expiry_timer: Timer of the next search for expired calls.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
@@ -45,17 +47,17 @@
         )
         self.queued: dict[int, incoming_module.Incoming] = {}
         self.running: set[asyncio.Task[None]] = set()
-        self.expiry: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
 
     def arrive(
         self, opening: messages.Open, stream: call_stream.CallStream
     ) -> None:
-        """Takes a call: runs it, lets it wait, or refuses it at once."""
+        """Runs a call, queues it, or refuses it at once."""
         now = self.context.clock.now()
         incoming = arrival.build(self.context, opening, stream, now)
-        fault = arrival.precheck(self.context, opening)
-        if fault is not None:
-            self.refuse(incoming, fault)
+        refusal = arrival.precheck(self.context, opening)
+        if refusal is not None:
+            self.refuse(incoming, refusal)
             return
         offer = self.admission.offer(incoming.waiting, now)
         for dropped in offer.dropped:
@@ -63,48 +65,50 @@
         if offer.verdict is controller.Verdict.RUN:
             self.start(incoming)
         elif offer.verdict is controller.Verdict.WAIT:
-            self.wait(incoming)
+            self.enqueue(incoming)
         else:
             assert offer.reason is not None
             self.shed(incoming, offer.reason)
 
-    def wait(self, incoming: incoming_module.Incoming) -> None:
-        """Keeps a call until a slot is free or its time is over."""
+    def enqueue(self, incoming: incoming_module.Incoming) -> None:
+        """Queues a call until a slot is free or it is dropped."""
         self.queued[id(incoming.waiting)] = incoming
         incoming.stream.on_reset = lambda: self.abandon(incoming)
-        self.note(record.Event.QUEUED, incoming)
-        if self.expiry is None:
-            self.expiry = self.context.loop.call_later(
+        self.record_event(record.Event.QUEUED, incoming)
+        if self.expiry_timer is None:
+            self.expiry_timer = self.context.loop.call_later(
                 EXPIRY_PERIOD_SECONDS, self.expire
             )
 
     def expire(self) -> None:
-        """Gives up calls whose time is over, at once, while any wait."""
-        self.expiry = None
+        """Drops expired calls, periodically while any are queued."""
+        self.expiry_timer = None
         for dropped in self.admission.expire(self.context.clock.now()):
             self.drop(dropped)
         if self.queued:
-            self.expiry = self.context.loop.call_later(
+            self.expiry_timer = self.context.loop.call_later(
                 EXPIRY_PERIOD_SECONDS, self.expire
             )
 
     def abandon(self, incoming: incoming_module.Incoming) -> None:
-        """Forgets a waiting call whose caller left."""
+        """Removes a queued call whose caller has left."""
         if self.queued.pop(id(incoming.waiting), None) is not None:
             self.admission.abandon(incoming.waiting)
-            self.note(record.Event.CANCELLED, incoming, detail="while waiting")
+            self.record_event(
+                record.Event.CANCELLED, incoming, detail="while waiting"
+            )
             self.end_hop(incoming, status=0)
 
     def drop(self, dropped: controller.Dropped) -> None:
-        """Refuses a call that was given up in the queue."""
+        """Refuses a call that was dropped from the queue."""
         self.shed(self.queued.pop(id(dropped.waiting)), dropped.reason)
 
     def shed(
         self, incoming: incoming_module.Incoming, reason: controller.DropReason
     ) -> None:
-        """Refuses a call for overload."""
+        """Refuses a call because of overload."""
         self.context.metrics.shed.labels(reason).inc()
-        self.note(record.Event.SHED, incoming, detail=reason)
+        self.record_event(record.Event.SHED, incoming, detail=reason)
         self.refuse(
             incoming,
             incoming_module.refusal(
@@ -117,20 +121,20 @@
         )
 
     def refuse(
-        self, incoming: incoming_module.Incoming, fault: errors.Refusal
+        self, incoming: incoming_module.Incoming, refusal: errors.Refusal
     ) -> None:
-        """Sends a refusal up."""
-        self.end_hop(incoming, status=fault.status)
+        """Sends a refusal to the caller's node."""
+        self.end_hop(incoming, status=refusal.status)
         now = self.context.clock.now()
         incoming.stream.refuse(
             messages.Refuse(
                 call_number=incoming.stream.call_number,
-                code=fault.code,
-                step=fault.step,
-                peer=fault.peer or self.context.instance,
-                detail=fault.detail,
-                not_run=fault.not_run,
-                retry_after_ms=fault.retry_after_ms,
+                code=refusal.code,
+                step=refusal.step,
+                peer=refusal.peer or self.context.instance,
+                detail=refusal.detail,
+                not_run=refusal.not_run,
+                retry_after_ms=refusal.retry_after_ms,
                 allowance=incoming.call.allowance.remaining,
                 shed_level=max(
                     incoming.call.shed_level, self.admission.shed_level(now)
@@ -142,27 +146,27 @@
 
     @property
     def load(self) -> int:
-        """Calls running and waiting."""
+        """Number of calls running and waiting."""
         return self.admission.running + self.admission.queue.size
 
     def start(self, incoming: incoming_module.Incoming) -> None:
         """Runs an admitted call."""
         task = eager.start(self.context.loop, self.run(incoming))
         if task is not None:
-            self.watch(incoming, task)
+            self.track(incoming, task)
 
     def start_later(self, incoming: incoming_module.Incoming) -> None:
-        """Runs an admitted call from the loop's next turn on.
+        """Runs an admitted call from the next iteration of the event loop.
 
-        A call that fails at once frees its slot for the next one; starting
-        that one inside would nest as deep as the queue is long.
+        A call that fails at once frees its slot for the next one. Starting
+        that one directly would recurse as deep as the queue is long.
         """
-        self.watch(incoming, self.context.loop.create_task(self.run(incoming)))
+        self.track(incoming, self.context.loop.create_task(self.run(incoming)))
 
-    def watch(
+    def track(
         self, incoming: incoming_module.Incoming, task: asyncio.Task[None]
     ) -> None:
-        """Keeps the task of a running call."""
+        """Tracks the task of a running call, and cancels it on a reset."""
         incoming.task = task
         incoming.stream.on_reset = incoming.cancel
         self.running.add(task)
@@ -171,7 +175,12 @@
     def release(
         self, *, latency_ms: float | None, overloaded: bool = False
     ) -> None:
-        """Frees a slot and acts on what follows from it."""
+        """Releases a slot and starts or drops queued calls accordingly.
+
+        Args:
+          latency_ms: Time that the target took; None if it was not measured.
+          overloaded: Whether the target refused because of overload.
+        """
         released = self.admission.finish(
             self.context.clock.now(),
             latency_ms=latency_ms,
@@ -191,19 +200,23 @@
                     )
 
     def start_waiting(self, incoming: incoming_module.Incoming) -> bool:
-        """Runs a call that has waited, unless its key was withdrawn."""
-        fault = arrival.check_key(self.context, incoming.opening)
-        if fault is not None:
-            self.refuse(incoming, fault)
+        """Starts a queued call, unless its key was withdrawn meanwhile.
+
+        Returns:
+          Whether the call was started.
+        """
+        refusal = arrival.check_key(self.context, incoming.opening)
+        if refusal is not None:
+            self.refuse(incoming, refusal)
             return False
         self.start_later(incoming)
         return True
 
     async def run(self, incoming: incoming_module.Incoming) -> None:
-        """Brings a call to the target and its answer back."""
+        """Runs a call at the target, until its deadline at the latest."""
         attempt = dispatch.Dispatch(self, incoming)
         token = self.context.active.begin(incoming.call)
-        self.note(record.Event.RUNNING, incoming)
+        self.record_event(record.Event.RUNNING, incoming)
         try:
             remaining_ms = incoming.call.deadline_ms - self.context.clock.now()
             with eager.Expiry(
@@ -214,16 +227,16 @@
                 await attempt.run(token)
         except TimeoutError:
             attempt.fail(errors.Code.DEADLINE_EXCEEDED, "the deadline passed")
-        except errors.Refusal as fault:
-            attempt.refuse(fault)
+        except errors.Refusal as refusal:
+            attempt.refuse(refusal)
         except errors.StreamError:
-            self.note(record.Event.CANCELLED, incoming)
+            self.record_event(record.Event.CANCELLED, incoming)
         except client.TRANSPORT_ERRORS as error:
             reason = str(error) or type(error).__name__
             attempt.fail(errors.Code.TARGET_FAILED, reason)
         except asyncio.CancelledError:
-            self.note(record.Event.CANCELLED, incoming)
-            attempt.cut()
+            self.record_event(record.Event.CANCELLED, incoming)
+            attempt.abort()
         finally:
             self.context.active.end(incoming.call)
             attempt.close()
@@ -235,7 +248,7 @@
     def end_hop(
         self, incoming: incoming_module.Incoming, *, status: int
     ) -> None:
-        """Finishes the span of a call."""
+        """Ends the span of a call, if it has one."""
         hop, incoming.hop = incoming.hop, None
         if hop is not None:
             hop.end(
@@ -245,7 +258,7 @@
                 status=status,
             )
 
-    def note(
+    def record_event(
         self,
         event: record.Event,
         incoming: incoming_module.Incoming,
@@ -263,7 +276,7 @@
         )
 
     async def finish_running(self) -> None:
-        """Waits until nothing waits or runs."""
+        """Waits until no call is queued or running."""
         while self.running or self.queued:
             if self.running:
                 await asyncio.wait(set(self.running), timeout=0.05)
@@ -271,7 +284,11 @@
                 await asyncio.sleep(EXPIRY_PERIOD_SECONDS)
 
     def cancel_running(self) -> int:
-        """Cuts what still runs and returns how many calls that were."""
+        """Cancels the running calls.
+
+        Returns:
+          Number of calls that were running or queued.
+        """
         cut = len(self.running) + len(self.queued)
         for task in self.running:
             task.cancel()
--- a/src/currantcart/node/rates.py
+++ b/src/currantcart/node/rates.py
@@ -1,4 +1,8 @@
-"""Rates: own tokens first, then loans from other nodes, then a refusal."""
+"""Admits root calls to workspaces' rates, with token loans between nodes.
+
+A call spends a local token if there is one; else the node requests a loan from
+some of its peers, and refuses the call if none has tokens to spare.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,22 @@
 
 PEERS_ASKED = 4
 ROUND_SECONDS_MAX = 0.05
-DRY_MS = 20.0
+BACKOFF_MS = 20.0
 WANTED_SPAN_MS = 60.0
 WANTED_MIN = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Round:
-    """One round of asking for loans of one workspace.
+    """One round of loan requests for one workspace.
 
     Attributes:
-      workspace: Whose tokens are asked for.
-      wanted: How many from each.
-      asked_ms: When, before the first message left.
-      open: Numbers of the questions that have no answer yet.
-      done: Set when all are answered or the time is over.
+      workspace: Workspace whose tokens are requested.
+      wanted: Tokens requested from each peer.
+      asked_ms: Time before the first request was sent.
+      open: Numbers of the requests that are not answered yet.
+      done: Done when all requests are answered or the time limit of the round
+        has passed.
     """
 
     workspace: str
@@ -40,12 +45,15 @@
 
 
 class Rates:
-    """Admission to workspaces' rates at one node.
+    """Admission to the rates of workspaces at one node.
 
     Attributes:
-      rounds: Rounds under way, by workspace.
-      questions: Round of each open question.
-      dry_until: When asking is worth while again, by workspace.
+      rounds: Rounds in progress, by workspace.
+      open_requests: Round of each unanswered request, by number of the request.
+      backoff_until: Time until which no loan is requested, by workspace,
+        because the peers had no tokens to spare.
+      number: Number of the latest request.
+      dialling: Tasks that open a stream to send a request.
     """
 
     def __init__(
@@ -59,52 +67,63 @@
         self.links = links
         self.members = members
         self.rounds: dict[str, Round] = {}
-        self.questions: dict[int, Round] = {}
-        self.dry_until: dict[str, float] = {}
+        self.open_requests: dict[int, Round] = {}
+        self.backoff_until: dict[str, float] = {}
         self.number = 0
         self.dialling: set[asyncio.Task[None]] = set()
 
     async def admit(self, workspace: str) -> None:
-        """Takes one token of a workspace.
+        """Spends one token of a workspace.
 
         Raises:
-          errors.Refusal: Neither this node nor those asked have one.
+          errors.Refusal: Neither this node nor the peers that it asked have a
+            token.
         """
-        held = self.context.limiter.share_of(workspace)
+        local_share = self.context.limiter.share_of(workspace)
         now = self.context.clock.now()
-        if held is not None:
-            held.count_demand(now)
-            if held.take(now) or await self.take_loan(workspace, held, now):
+        if local_share is not None:
+            local_share.count_demand(now)
+            if local_share.take(now) or await self.take_loan(
+                workspace, local_share, now
+            ):
                 return
         raise errors.Refusal(
             errors.Code.RATE_EXCEEDED,
             errors.Step.RATE,
             f"workspace {workspace} is over its rate",
             not_run=True,
-            retry_after_ms=held.wait_ms(now) if held else DRY_MS,
+            retry_after_ms=local_share.wait_ms(now)
+            if local_share
+            else BACKOFF_MS,
         )
 
     async def take_loan(
-        self, workspace: str, held: share.Share, now: float
+        self, workspace: str, local_share: share.Share, now: float
     ) -> bool:
-        """Asks other nodes, once for all calls that wait, and tries again."""
-        if now < self.dry_until.get(workspace, 0.0):
+        """Spends a token after a round of loans, which waiting calls share.
+
+        Returns:
+          Whether a token was spent.
+        """
+        if now < self.backoff_until.get(workspace, 0.0):
             return False
-        present = self.rounds.get(workspace) or self.ask(workspace, held, now)
+        present = self.rounds.get(workspace) or self.ask(
+            workspace, local_share, now
+        )
         if present is None:
             return False
         await asyncio.shield(present.done)
-        if held.take(self.context.clock.now()):
+        if local_share.take(self.context.clock.now()):
             return True
-        # The others have none to spare: asking for each further call would
-        # let a workspace that floods cost its messages on every node.
-        self.dry_until[workspace] = self.context.clock.now() + DRY_MS
+        # The peers have no tokens to spare. With a round for each further call,
+        # a workspace far over its rate would cause messages at every node.
+        self.backoff_until[workspace] = self.context.clock.now() + BACKOFF_MS
         return False
 
     def ask(
-        self, workspace: str, held: share.Share, now: float
+        self, workspace: str, local_share: share.Share, now: float
     ) -> Round | None:
-        """Starts a round, if there is anyone to ask."""
+        """Starts a round of loan requests; None without an alive peer."""
         others = self.members.others(membership_model.Status.ALIVE)
         if not others:
             return None
@@ -112,9 +131,10 @@
         peers = self.context.rng.sample(others, min(PEERS_ASKED, len(others)))
         started = Round(
             workspace=workspace,
-            # More than is soon used would end unused, and be lost to all.
+            # Loans expire: tokens beyond the demand of the near future would
+            # expire unused, and no node could spend them.
             wanted=max(
-                WANTED_MIN, held.demand_over(WANTED_SPAN_MS) / len(peers)
+                WANTED_MIN, local_share.demand_over(WANTED_SPAN_MS) / len(peers)
             ),
             asked_ms=now,
             open=set(),
@@ -122,17 +142,21 @@
         )
         self.rounds[workspace] = started
         for peer in peers:
-            self.question(started, peer)
+            self.request_loan(started, peer)
         loop.call_later(ROUND_SECONDS_MAX, self.close, started)
         return started
 
-    def question(self, asked: Round, peer: membership_model.Member) -> None:
-        """Asks one peer for its part of a round."""
+    def request_loan(
+        self, loan_round: Round, peer: membership_model.Member
+    ) -> None:
+        """Requests a loan from one peer."""
         self.number += 1
-        asked.open.add(self.number)
-        self.questions[self.number] = asked
-        message = messages.Ask(self.number, asked.workspace, asked.wanted)
-        stream = self.links.current(peer.instance)
+        loan_round.open.add(self.number)
+        self.open_requests[self.number] = loan_round
+        message = messages.Ask(
+            self.number, loan_round.workspace, loan_round.wanted
+        )
+        stream = self.links.usable_stream(peer.instance)
         if stream is not None:
             stream.send(message)
             return
@@ -143,45 +167,49 @@
     async def dial_and_ask(
         self, peer: membership_model.Member, message: messages.Ask
     ) -> None:
-        """Asks a peer to which no stream is open yet."""
+        """Opens a stream to a peer and sends it a request."""
         try:
-            stream = await self.links.reach(peer)
+            stream = await self.links.connect(peer)
         except errors.StreamError:
-            self.answered(messages.Give(message.number, 0.0))
+            self.handle_give(messages.Give(message.number, 0.0))
             return
         stream.send(message)
 
-    def message(
+    def handle_message(
         self,
         message: messages.Ask | messages.Give,
         stream: connection.Connection,
     ) -> None:
-        """Lends to a peer, or takes a peer's loan."""
+        """Answers a peer's loan request, or processes a peer's answer."""
         if isinstance(message, messages.Give):
-            self.answered(message)
+            self.handle_give(message)
             return
-        held = self.context.limiter.share_of(message.workspace)
+        local_share = self.context.limiter.share_of(message.workspace)
         now = self.context.clock.now()
-        given = held.lend(message.amount, now) if held is not None else 0.0
-        stream.send(messages.Give(message.number, given))
+        lent = (
+            local_share.lend(message.amount, now)
+            if local_share is not None
+            else 0.0
+        )
+        stream.send(messages.Give(message.number, lent))
 
-    def answered(self, give: messages.Give) -> None:
-        """Takes a loan; one that comes twice or unasked is dropped."""
-        asked = self.questions.pop(give.number, None)
-        if asked is None:
+    def handle_give(self, give: messages.Give) -> None:
+        """Adds a granted loan; drops a duplicate or unrequested one."""
+        loan_round = self.open_requests.pop(give.number, None)
+        if loan_round is None:
             return
-        asked.open.discard(give.number)
-        held = self.context.limiter.share_of(asked.workspace)
-        if held is not None and 0 < give.amount <= asked.wanted:
-            held.borrow(give.amount, asked_ms=asked.asked_ms)
-        if not asked.open:
-            self.close(asked)
-
-    def close(self, asked: Round) -> None:
-        """Ends a round."""
-        if self.rounds.get(asked.workspace) is asked:
-            del self.rounds[asked.workspace]
-        for number in asked.open:
-            self.questions.pop(number, None)
-        if not asked.done.done():
-            asked.done.set_result(None)
+        loan_round.open.discard(give.number)
+        local_share = self.context.limiter.share_of(loan_round.workspace)
+        if local_share is not None and 0 < give.amount <= loan_round.wanted:
+            local_share.borrow(give.amount, asked_ms=loan_round.asked_ms)
+        if not loan_round.open:
+            self.close(loan_round)
+
+    def close(self, loan_round: Round) -> None:
+        """Ends a round and resumes the calls that wait for it."""
+        if self.rounds.get(loan_round.workspace) is loan_round:
+            del self.rounds[loan_round.workspace]
+        for number in loan_round.open:
+            self.open_requests.pop(number, None)
+        if not loan_round.done.done():
+            loan_round.done.set_result(None)
