--- a/src/currantcart/call/allowance.py
+++ b/src/currantcart/call/allowance.py
@@ -70,7 +70,7 @@
         self.burst = burst
         self.credit = burst
 
-    def first_attempt(self) -> None:
+    def count_first_attempt(self) -> None:
         """Counts a first attempt, which earns a fraction of a retry."""
         self.credit = min(self.burst, self.credit + self.ratio)
 
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -109,7 +109,7 @@
         attempts = retry.Attempts(
             idempotent=self.call.idempotent, replayable=True
         )
-        self.context.budget.first_attempt()
+        self.context.budget.count_first_attempt()
         while True:
             attempt = self.choose(attempts)
             try:
--- a/tests/call/test_allowance.py
+++ b/tests/call/test_allowance.py
@@ -45,5 +45,5 @@
     budget = allowance.RetryBudget(ratio=0.1, burst=2)
     assert [budget.spend() for _ in range(3)] == [True, True, False]
     for _ in range(11):
-        budget.first_attempt()
+        budget.count_first_attempt()
     assert [budget.spend() for _ in range(2)] == [True, False]
