--- a/src/currantcart/call/attempt.py
+++ b/src/currantcart/call/attempt.py
@@ -56,14 +56,14 @@
     return TRANSITIONS.get((outcome, event), outcome)
 
 
-class Final(enum.Enum):
+class AnswerKind(enum.Enum):
     """Kind of answer that the node gives without one from a target."""
 
     NOT_RUN = enum.auto()
     UNKNOWN = enum.auto()
 
 
-def final_answer(outcomes: list[Outcome], *, idempotent: bool) -> Final:
+def final_answer(outcomes: list[Outcome], *, idempotent: bool) -> AnswerKind:
     """Returns the kind of answer for a request that no target answered.
 
     Args:
@@ -71,8 +71,8 @@
       idempotent: Whether the request may run more than once.
     """
     if idempotent or all(item is Outcome.NOT_EXECUTED for item in outcomes):
-        return Final.NOT_RUN
-    return Final.UNKNOWN
+        return AnswerKind.NOT_RUN
+    return AnswerKind.UNKNOWN
 
 
 def may_retry(outcome: Outcome, *, idempotent: bool) -> bool:
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -249,7 +249,7 @@
         final = attempt.final_answer(
             call.outcomes, idempotent=call.request.route.idempotent
         )
-        if final is attempt.Final.NOT_RUN:
+        if final is attempt.AnswerKind.NOT_RUN:
             call.retry_after_ms = call.retry_after_ms or UNREADY_RETRY_MS
             self.finish(call, 503, call.last_code)
         else:
--- a/tests/call/test_attempt.py
+++ b/tests/call/test_attempt.py
@@ -53,7 +53,7 @@
 ) -> None:
     final = attempt.final_answer(list(outcomes), idempotent=False)
     not_run = all(item is attempt.Outcome.NOT_EXECUTED for item in outcomes)
-    assert (final is attempt.Final.NOT_RUN) == not_run
+    assert (final is attempt.AnswerKind.NOT_RUN) == not_run
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES)
