--- a/src/currantcart/call/budget.py
+++ b/src/currantcart/call/budget.py
@@ -121,7 +121,7 @@
         """
         return Standing(
             self.requests_in_window(now),
-            self.repeats_in_window(now),
+            self.retries_in_window(now),
             self.left(now, share=share),
         )
 
@@ -129,7 +129,7 @@
         """Returns the number of requests in the window that ends now."""
         return self.count_in_window(self.requests, now)
 
-    def repeats_in_window(self, now: float) -> int:
+    def retries_in_window(self, now: float) -> int:
         """Returns the number of retries in the window that ends now."""
         return self.count_in_window(self.retries, now)
 
--- a/src/currantcart/proxy/state_log.py
+++ b/src/currantcart/proxy/state_log.py
@@ -86,7 +86,7 @@
                 "budget_exhausted",
                 service=name,
                 requests=present[name].requests_in_window(now),
-                repeats=present[name].repeats_in_window(now),
+                repeats=present[name].retries_in_window(now),
             )
         for name in sorted(self.spent - present.keys()):
             self.context.log.event("budget_regained", service=name)
--- a/tests/proxy/requests/test_chains.py
+++ b/tests/proxy/requests/test_chains.py
@@ -82,4 +82,4 @@
     kept = far.node.outbound.retries.budgets["grades"]
     now = far.node.context.now
     assert kept.requests_in_window(now) == 0
-    assert kept.repeats_in_window(now) == 1
+    assert kept.retries_in_window(now) == 1
