--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -165,7 +165,7 @@
         target, call.target = call.target, None
         if target is not None:
             target.open -= 1
-            target.note(failed=failed, now=self.context.now)
+            target.record_outcome(failed=failed, now=self.context.now)
         if call.link is not None:
             call.link.calls.pop(call.number, None)
         call.link = call.job = call.local_reply = None
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -96,7 +96,7 @@
         age = max(0.0, now - self.failure_at)
         return float(self.failure * 0.5 ** (age / FAILURE_HALF_LIFE_MS))
 
-    def note(self, *, failed: bool, now: float) -> None:
+    def record_outcome(self, *, failed: bool, now: float) -> None:
         """Records whether a request failed at the target."""
         if not failed and self.failure == 0.0:
             return
--- a/tests/routing/test_picker.py
+++ b/tests/routing/test_picker.py
@@ -260,7 +260,7 @@
 def test_failures_decay() -> None:
     made = target("x")
     for _ in range(50):
-        made.note(failed=True, now=1_000.0)
+        made.record_outcome(failed=True, now=1_000.0)
     assert made.failure_share(1_000.0) > 0.9
     assert made.failure_share(5_000.0) < 0.25
 
