--- a/src/currantcart/proxy/requests/completion.py
+++ b/src/currantcart/proxy/requests/completion.py
@@ -64,7 +64,7 @@
 ) -> str:
     """Returns known targets with loads and the loads' ages, for a log line."""
     now = context.now
-    return ",".join(target.text(now) for target in known[:CANDIDATES_MAX])
+    return ",".join(target.describe(now) for target in known[:CANDIDATES_MAX])
 
 
 def log_end(
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -83,7 +83,7 @@
         self.busy, self.limit, self.reported_open = busy, limit, self.open
         self.reported_at = now
 
-    def text(self, now: float) -> str:
+    def describe(self, now: float) -> str:
         """Returns instance, load and age of the load for a log line."""
         state = "" if self.ready else "away:"
         return (
