--- a/src/currantcart/call/attempt.py
+++ b/src/currantcart/call/attempt.py
@@ -45,7 +45,7 @@
 FINAL = frozenset({Outcome.NOT_EXECUTED, Outcome.ANSWERED, Outcome.UNKNOWN})
 
 
-def after(outcome: Outcome, event: Event) -> Outcome:
+def next_outcome(outcome: Outcome, event: Event) -> Outcome:
     """Returns the outcome after an event.
 
     An event without a transition leaves the outcome unchanged. A refusal that
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -101,7 +101,7 @@
         self, call: call_module.Call, event: attempt.Event
     ) -> attempt.Outcome:
         """Applies an event to the current attempt; returns its outcome."""
-        outcome = attempt.after(call.outcomes[-1], event)
+        outcome = attempt.next_outcome(call.outcomes[-1], event)
         call.outcomes[-1] = outcome
         return outcome
 
--- a/tests/call/test_attempt.py
+++ b/tests/call/test_attempt.py
@@ -23,7 +23,7 @@
     """An event may arrive after the caller has been answered."""
     outcome = attempt.Outcome.NOT_HANDED_OVER
     for event in history:
-        before, outcome = outcome, attempt.after(outcome, event)
+        before, outcome = outcome, attempt.next_outcome(outcome, event)
         if before in attempt.FINAL:
             assert outcome is before
 
@@ -40,7 +40,7 @@
                 handed = True
             if event is attempt.Event.REFUSE and handed:
                 refused = True
-        outcome = attempt.after(outcome, event)
+        outcome = attempt.next_outcome(outcome, event)
     if outcome is attempt.Outcome.NOT_EXECUTED:
         assert not handed or refused
 
