--- a/src/currantcart/call/budget.py
+++ b/src/currantcart/call/budget.py
@@ -63,7 +63,7 @@
         self.retries: dict[int, int] = {}
         self.refused_at = float("-inf")
 
-    def note_request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Counts a request for the service."""
         self.add(self.requests, now)
 
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -119,7 +119,7 @@
         """
         if call.lineage.repeated:
             return self.spend_budget(call, CALLED_BY_RETRY)
-        self.budget_of(call.service).note_request(self.context.now)
+        self.budget_of(call.service).count_request(self.context.now)
         self.context.counts.add("budgeted_requests", call.service)
         return True
 
--- a/tests/call/test_budget.py
+++ b/tests/call/test_budget.py
@@ -33,7 +33,7 @@
     retried = 0
     for at in range(0, 40_000, 10):
         now = float(at)
-        node_budget.note_request(now)
+        node_budget.count_request(now)
         if at >= 30_000 and node_budget.take(now, share=0.0):
             retried += 1
     assert 180 <= retried <= 200
@@ -42,7 +42,7 @@
 def test_a_node_that_has_just_started_may_retry() -> None:
     node_budget = new_budget()
     for at in range(1_000):
-        node_budget.note_request(float(at))
+        node_budget.count_request(float(at))
     retried = sum(node_budget.take(1_000.0, share=0.0) for _ in range(1_000))
     assert 80 <= retried <= 200
 
@@ -57,7 +57,7 @@
         now = step * 1.0
         for node in nodes:
             if rng.random() < 0.01:
-                node.note_request(now)
+                node.count_request(now)
                 requests.append(now)
             if rng.random() < 0.05 and node.take(now, share=1 / 12):
                 retries.append(now)
@@ -80,7 +80,7 @@
     now = 12_345_678.0
     for _ in range(40_000):
         now += rng.expovariate(1.0)
-        node_budget.note_request(now)
+        node_budget.count_request(now)
         requests.append(now)
         if rng.random() < 0.55 and node_budget.take(now, share=1 / 13):
             retries.append(now)
@@ -95,10 +95,10 @@
     node_budget = new_budget()
     retried = 0
     for at in range(10_000):
-        node_budget.note_request(float(at))
+        node_budget.count_request(float(at))
     for at in range(10_000, 20_000, 5):
         for _ in range(4):
-            node_budget.note_request(float(at))
+            node_budget.count_request(float(at))
             retried += node_budget.take(float(at), share=0.0)
     retried += sum(node_budget.take(20_000.0, share=0.0) for _ in range(4_000))
     assert 0.2 * 8_000 < retried <= 0.2 * 10_000
@@ -110,7 +110,7 @@
     requests = [float(at) for at in range(10_000)]
     requests += [float(at) for at in range(10_000, 20_000, 5) for _ in range(4)]
     for at in requests:
-        node_budget.note_request(at)
+        node_budget.count_request(at)
     retries = [
         20_000.0 for _ in range(4_000) if node_budget.take(20_000.0, share=0.0)
     ]
@@ -131,7 +131,7 @@
     for at in range(30_000):
         now = float(at)
         node = one if at < 10_000 else two
-        node.note_request(now)
+        node.count_request(now)
         requests.append(now)
         for asking in (one, two):
             if asking.take(now, share=0.5):
@@ -144,7 +144,7 @@
     node_budget = new_budget()
     for at in range(0, 60_000, 50):
         now = float(at)
-        node_budget.note_request(now)
+        node_budget.count_request(now)
         if at % 20_000 in (19_000, 19_100, 19_200):
             for _ in range(3):
                 assert node_budget.take(now, share=0.0)
@@ -155,10 +155,10 @@
     rng = random.Random(8)
     node_budget = new_budget()
     for at in range(10_000):
-        node_budget.note_request(float(at))
+        node_budget.count_request(float(at))
     asked = given = 0
     for at in range(10_000, 14_000):
-        node_budget.note_request(float(at))
+        node_budget.count_request(float(at))
         if rng.random() < 0.24:
             asked += 1
             given += node_budget.take(float(at), share=0.0)
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -80,7 +80,7 @@
         """Gives each node of a group some requests."""
         for node in self.chosen(group):
             for _ in range(count):
-                node.budget.note_request(self.now)
+                node.budget.count_request(self.now)
             self.requests[-1] += count
 
     def repeat(self, group: str, wanted: int) -> None:
