--- a/src/currantcart/call/budget.py
+++ b/src/currantcart/call/budget.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class Usage:
     """Usage of a retry budget at one moment.
 
     Attributes:
@@ -112,14 +112,14 @@
             counted += requests.get(start - BUCKETS, 0)
         return max(0.0, least)
 
-    def standing(self, now: float, *, share: float) -> Standing:
+    def standing(self, now: float, *, share: float) -> Usage:
         """Returns the usage of the budget now.
 
         Args:
           now: Milliseconds of the node's clock.
           share: This node's share of the slack, 0 to 1.
         """
-        return Standing(
+        return Usage(
             self.requests_in_window(now),
             self.retries_in_window(now),
             self.left(now, share=share),
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -77,7 +77,7 @@
         """Returns this node's share of the fixed number of retries, 0 to 1."""
         return self.fixed_part.share(self.context.now)
 
-    def standings(self) -> dict[str, budget.Standing]:
+    def standings(self) -> dict[str, budget.Usage]:
         """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
@@ -97,7 +97,7 @@
         """
 
         def each(
-            value: Callable[[budget.Standing], float],
+            value: Callable[[budget.Usage], float],
         ) -> Callable[[], dict[str, float]]:
             return lambda: {
                 service: value(standing)
