--- a/src/currantcart/call/fixed_part.py
+++ b/src/currantcart/call/fixed_part.py
@@ -12,7 +12,7 @@
 """
 
 
-class FixedPart:
+class SlackShare:
     """One node's share, by the largest fleet that it has seen recently.
 
     A process has no share in its first window: its predecessor may have used
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -63,9 +63,9 @@
                 bounds.retry_slack,
             )
 
-    def new_fixed_part(self) -> fixed_part.FixedPart:
+    def new_fixed_part(self) -> fixed_part.SlackShare:
         """Returns the share of a process that starts counting now."""
-        return fixed_part.FixedPart(
+        return fixed_part.SlackShare(
             window_ms=self.window_ms, started_at=self.context.now
         )
 
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -29,7 +29,7 @@
         self.budget = budget.RetryBudget(
             ratio=RATIO, slack=SLACK, window_ms=WINDOW_MS
         )
-        self.part = fixed_part.FixedPart(window_ms=WINDOW_MS, started_at=now)
+        self.part = fixed_part.SlackShare(window_ms=WINDOW_MS, started_at=now)
         self.part.note(known, now)
 
     def repeat(self, now: float, wanted: int) -> int:
