--- a/src/currantcart/call/fixed_part.py
+++ b/src/currantcart/call/fixed_part.py
@@ -34,7 +34,7 @@
         self.nodes = 0
         self.nodes_at = started_at
 
-    def note(self, nodes: int, now: float) -> None:
+    def observe_nodes(self, nodes: int, now: float) -> None:
         """Records the number of known nodes, with this one; 0 for unknown."""
         while self.sizes and self.sizes[-1][1] <= nodes:
             self.sizes.pop()
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -71,7 +71,7 @@
 
     def record_fleet_size(self) -> None:
         """Records the number of known nodes; called at regular intervals."""
-        self.fixed_part.note(self.node_count(), self.context.now)
+        self.fixed_part.observe_nodes(self.node_count(), self.context.now)
 
     def share(self) -> float:
         """Returns this node's share of the fixed number of retries, 0 to 1."""
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -30,10 +30,10 @@
             ratio=RATIO, slack=SLACK, window_ms=WINDOW_MS
         )
         self.part = fixed_part.SlackShare(window_ms=WINDOW_MS, started_at=now)
-        self.part.note(known, now)
+        self.part.observe_nodes(known, now)
 
     def repeat(self, now: float, wanted: int) -> int:
-        self.part.note(self.known, now)
+        self.part.observe_nodes(self.known, now)
         share = self.part.share(now)
         taken = 0
         while taken < wanted and self.budget.take(now, share=share):
@@ -74,7 +74,7 @@
             self.requests.append(0)
             self.repeats.append(0)
             for node in self.nodes:
-                node.part.note(node.known, self.now)
+                node.part.observe_nodes(node.known, self.now)
 
     def ask(self, group: str, count: int) -> None:
         """Gives each node of a group some requests."""
