--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from currantcart import clock
-from currantcart.call import attempt, budget, fixed_part
+from currantcart.call import attempt, budget, slack_share
 from currantcart.proxy import context as proxy_context
 from currantcart.proxy import settings as proxy_settings
 from currantcart.proxy.requests import call as call_module
@@ -63,9 +63,9 @@
                 bounds.retry_slack,
             )
 
-    def new_fixed_part(self) -> fixed_part.SlackShare:
+    def new_fixed_part(self) -> slack_share.SlackShare:
         """Returns the share of a process that starts counting now."""
-        return fixed_part.SlackShare(
+        return slack_share.SlackShare(
             window_ms=self.window_ms, started_at=self.context.now
         )
 
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import strategies as st
 
-from currantcart.call import budget, fixed_part
+from currantcart.call import budget, slack_share
 
 RATIO = 0.2
 SLACK = 48
@@ -29,7 +29,7 @@
         self.budget = budget.RetryBudget(
             ratio=RATIO, slack=SLACK, window_ms=WINDOW_MS
         )
-        self.part = fixed_part.SlackShare(window_ms=WINDOW_MS, started_at=now)
+        self.part = slack_share.SlackShare(window_ms=WINDOW_MS, started_at=now)
         self.part.observe_nodes(known, now)
 
     def repeat(self, now: float, wanted: int) -> int:
