--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -80,9 +80,9 @@
         if self.last is None:
             self.last = report
             return True
-        return self.take(report)
+        return self.apply(report)
 
-    def take(self, report: Report, *, wall_ms: float = 0.0) -> bool:
+    def apply(self, report: Report, *, wall_ms: float = 0.0) -> bool:
         """Applies a report unless it is outdated.
 
         Until the record of the previous process has been read, a single
--- a/src/currantcart/proxy/targets/target_reports.py
+++ b/src/currantcart/proxy/targets/target_reports.py
@@ -72,7 +72,7 @@
         `PERSIST_SECONDS_MAX`.
         """
         before = self.record.last
-        if not self.record.take(report, wall_ms=self.context.clock.wall()):
+        if not self.record.apply(report, wall_ms=self.context.clock.wall()):
             self.context.log.event(
                 "report_passed_over",
                 target=report.target_id,
--- a/tests/fleet/test_target_record.py
+++ b/tests/fleet/test_target_record.py
@@ -28,14 +28,14 @@
 
 def test_a_late_report_of_an_earlier_incarnation_is_ignored() -> None:
     record = restored()
-    assert record.take(report(born=200))
-    assert not record.take(report(born=100, sequence=9))
+    assert record.apply(report(born=200))
+    assert not record.apply(report(born=100, sequence=9))
 
 
 def test_the_sequence_starts_again_with_each_incarnation() -> None:
     record = restored()
-    assert record.take(report(sequence=50))
-    assert record.take(report(sequence=1, born=200))
+    assert record.apply(report(sequence=50))
+    assert record.apply(report(sequence=1, born=200))
 
 
 @pytest.mark.parametrize("leaving", [Phase.DRAINING, Phase.LEFT])
@@ -45,31 +45,31 @@
 ) -> None:
     """A heartbeat sent before the leave may arrive seconds after it."""
     record = restored()
-    record.take(report(sequence=4))
-    assert record.take(report(leaving, sequence=5))
-    assert not record.take(report(sequence=sequence))
+    record.apply(report(sequence=4))
+    assert record.apply(report(leaving, sequence=5))
+    assert not record.apply(report(sequence=sequence))
 
 
 def test_a_leave_without_incarnation_refers_to_the_present_one() -> None:
     record = restored()
-    record.take(report(sequence=4))
-    assert record.take(report(Phase.LEFT, sequence=0, born=0))
-    assert not record.take(report(sequence=5))
-    assert record.take(report(sequence=1, born=300))
+    record.apply(report(sequence=4))
+    assert record.apply(report(Phase.LEFT, sequence=0, born=0))
+    assert not record.apply(report(sequence=5))
+    assert record.apply(report(sequence=1, born=300))
 
 
 def test_the_restored_record_binds_the_next_process() -> None:
     record = target_record.TargetRecord()
     record.restore(report(Phase.DRAINING, sequence=7))
-    assert not record.take(report(sequence=6))
-    assert not record.take(report(sequence=8))
+    assert not record.apply(report(sequence=6))
+    assert not record.apply(report(sequence=8))
 
 
 def test_with_the_store_unavailable_a_second_report_is_needed() -> None:
     record = target_record.TargetRecord()
-    assert not record.take(report(sequence=3))
-    assert not record.take(report(sequence=3))
-    assert record.take(report(sequence=4))
+    assert not record.apply(report(sequence=3))
+    assert not record.apply(report(sequence=3))
+    assert record.apply(report(sequence=4))
 
 
 def test_every_order_of_reports_ends_with_the_leave() -> None:
@@ -82,6 +82,6 @@
     for order in itertools.permutations(reports):
         record = restored()
         for item in order:
-            record.take(item)
+            record.apply(item)
         assert record.last is not None
         assert record.last.phase is Phase.LEFT
--- a/tests/models/test_drain.py
+++ b/tests/models/test_drain.py
@@ -66,7 +66,7 @@
             self.peer_up = event == "peer back"
 
     def report(self, report: target_record.Report) -> None:
-        if not self.record.take(report, wall_ms=150.0):
+        if not self.record.apply(report, wall_ms=150.0):
             return
         last = self.record.last
         assert last is not None
