--- a/src/currantcart/fleet/freshness.py
+++ b/src/currantcart/fleet/freshness.py
@@ -40,7 +40,7 @@
         if version == self.version and as_of > self.as_of:
             self.as_of = as_of
 
-    def take(self, version: int, as_of: float) -> None:
+    def adopt(self, version: int, as_of: float) -> None:
         """Records that the node now serves a newer version."""
         self.version = version
         self.as_of = as_of
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -179,7 +179,7 @@
             )
         self.exchange.set_current(document)
         self.context.catalog = catalog
-        known.take(catalog.version, as_of)
+        known.adopt(catalog.version, as_of)
         self.on_change()
         return True
 
--- a/tests/fleet/test_freshness.py
+++ b/tests/fleet/test_freshness.py
@@ -13,14 +13,14 @@
     None
 ):
     known = freshness.Freshness()
-    known.take(7, 1_000.0)
+    known.adopt(7, 1_000.0)
     assert known.may_serve_keys(5_000.0, bound_ms=5_000)
     assert not known.may_serve_keys(5_600.0, bound_ms=5_000)
 
 
 def test_confirmation_of_another_version_is_ignored() -> None:
     known = freshness.Freshness()
-    known.take(7, 1_000.0)
+    known.adopt(7, 1_000.0)
     known.confirm(6, 4_000.0)
     known.confirm(8, 4_000.0)
     assert known.as_of == 1_000.0
@@ -28,7 +28,7 @@
 
 def test_older_confirmation_is_ignored() -> None:
     known = freshness.Freshness()
-    known.take(7, 1_000.0)
+    known.adopt(7, 1_000.0)
     known.confirm(7, 900.0)
     assert known.as_of == 1_000.0
 
--- a/tests/models/test_withdrawal.py
+++ b/tests/models/test_withdrawal.py
@@ -60,7 +60,7 @@
     def hear(self, who: str, version: int, as_of: float) -> None:
         known = self.nodes[who]
         if version > known.version:
-            known.take(version, as_of)
+            known.adopt(version, as_of)
         else:
             known.confirm(version, as_of)
 
