--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -142,7 +142,7 @@
         chosen = self.picker.choose(
             targets,
             now=now,
-            passed_over=call.tried_instances,
+            exclude=call.tried_instances,
             objective_ms=call.request.route.objective_ms,
         )
         if chosen is None:
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -170,7 +170,7 @@
         targets: Iterable[Target],
         *,
         now: float,
-        passed_over: set[str],
+        exclude: set[str],
         objective_ms: float = 0.0,
     ) -> Target | None:
         """Returns the target with the lowest cost, or None without any.
@@ -178,7 +178,7 @@
         Args:
           targets: Targets of the service that can be reached.
           now: Milliseconds of the node's clock.
-          passed_over: Instances that the request was already sent to.
+          exclude: Instances that the request was already sent to.
           objective_ms: Latency objective of the request; 0 when unknown.
         """
         best: Target | None = None
@@ -186,7 +186,7 @@
         allowed = [
             target
             for target in targets
-            if target.ready and target.instance not in passed_over
+            if target.ready and target.instance not in exclude
         ]
         known = [target.work_ms for target in allowed if target.work_ms]
         fastest_ms = min(known, default=0.0)
--- a/tests/routing/test_picker.py
+++ b/tests/routing/test_picker.py
@@ -27,7 +27,7 @@
 def least_cost(
     chooser: picker.Picker, targets: list[picker.Target], now: float
 ) -> int:
-    chosen = chooser.choose(targets, now=now, passed_over=set())
+    chosen = chooser.choose(targets, now=now, exclude=set())
     assert chosen is not None
     return targets.index(chosen)
 
@@ -253,8 +253,8 @@
     )
     better = target("y", busy=3, work_ms=100.0)
     for order in ([better, worse], [worse, better]):
-        assert chooser.choose(order, now=1_000.0, passed_over=set()) is better
-    assert chooser.choose([worse], now=1_000.0, passed_over={"x"}) is None
+        assert chooser.choose(order, now=1_000.0, exclude=set()) is better
+    assert chooser.choose([worse], now=1_000.0, exclude={"x"}) is None
 
 
 def test_failures_decay() -> None:
