--- a/src/currantcart/node/operations.py
+++ b/src/currantcart/node/operations.py
@@ -102,7 +102,7 @@
     def refused(self, claim: register.Claim, refusal: errors.Refusal) -> None:
         """Releases a claim if its call certainly did not run."""
         if refusal.not_run:
-            self.finish(self.register.give_back(claim))
+            self.finish(self.register.release(claim))
 
     def finish(self, work: register.Work) -> None:
         """Writes the outcome of an operation to the store in the background."""
--- a/src/currantcart/operation/register.py
+++ b/src/currantcart/operation/register.py
@@ -108,7 +108,7 @@
         """Stores the answer of an operation that ran."""
         await self.finish(claim, model.done(claim.operation, answer))
 
-    async def give_back(self, claim: Claim) -> None:
+    async def release(self, claim: Claim) -> None:
         """Releases an operation that certainly did not run."""
         await self.finish(claim, model.freed(claim.operation))
 
--- a/tests/operation/test_register.py
+++ b/tests/operation/test_register.py
@@ -87,7 +87,7 @@
             assert ran
             return
         if ending == "not run":
-            await node_register.give_back(result)
+            await node_register.release(result)
             return
         ran.append(f"c{number}")
         await asyncio.sleep(0.01)
