--- a/src/currantcart/routing/router.py
+++ b/src/currantcart/routing/router.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Locality:
     """Failure domain and region of this node."""
 
     failure_domain: str
@@ -76,7 +76,7 @@
 class Router:
     """Known targets of all services, and the selection among them."""
 
-    def __init__(self, *, place: Place, rng: random.Random) -> None:
+    def __init__(self, *, place: Locality, rng: random.Random) -> None:
         self.place = place
         self.rng = rng
         self.candidates: dict[str, Candidate] = {}
