--- a/src/currantcart/node/context.py
+++ b/src/currantcart/node/context.py
@@ -89,7 +89,7 @@
             fleet_secret=settings.secret(),
         ),
         router=router.Router(
-            place=router.Locality(settings.failure_domain, settings.region),
+            locality=router.Locality(settings.failure_domain, settings.region),
             rng=rng,
         ),
         limiter=limiter.RateLimiter(fleet_instances=settings.fleet_instances),
--- a/src/currantcart/routing/router.py
+++ b/src/currantcart/routing/router.py
@@ -76,8 +76,8 @@
 class Router:
     """Known targets of all services, and the selection among them."""
 
-    def __init__(self, *, place: Locality, rng: random.Random) -> None:
-        self.place = place
+    def __init__(self, *, locality: Locality, rng: random.Random) -> None:
+        self.locality = locality
         self.rng = rng
         self.candidates: dict[str, Candidate] = {}
         self.services: dict[str, list[Candidate]] = {}
@@ -114,8 +114,8 @@
         member = candidate.member
         cost = score.utilization_cost(candidate.utilization(now))
         cost += score.distance_cost(
-            same_domain=member.failure_domain == self.place.failure_domain,
-            same_region=member.region == self.place.region,
+            same_domain=member.failure_domain == self.locality.failure_domain,
+            same_region=member.region == self.locality.region,
         )
         report = candidate.report
         if (
@@ -147,7 +147,7 @@
         near = [
             c
             for c in candidates
-            if c.member.failure_domain == self.place.failure_domain
+            if c.member.failure_domain == self.locality.failure_domain
         ]
         sampled = self.rng.sample(near, min(SAMPLE_SAME_DOMAIN, len(near)))
         wanted = SAMPLE_SAME_DOMAIN + SAMPLE_OTHERS - len(sampled)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -34,7 +34,7 @@
 @pytest.fixture
 def routing() -> router.Router:
     built = router.Router(
-        place=router.Locality("domain-0", "dar"), rng=random.Random(1)
+        locality=router.Locality("domain-0", "dar"), rng=random.Random(1)
     )
     built.update([member(n) for n in range(6)], 0.0)
     return built
