--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -40,7 +40,7 @@
 ) -> None:
     """Records the head that ended an attempt."""
     if head.limit > 0:
-        context.router.report(
+        context.router.record_report(
             candidate,
             load=head.load,
             limit=head.limit,
--- a/src/currantcart/routing/router.py
+++ b/src/currantcart/routing/router.py
@@ -186,7 +186,7 @@
         sampled = self.sample(self.usable(candidates, now))
         return min(sampled, key=lambda c: self.cost(c, priority, now))
 
-    def report(
+    def record_report(
         self,
         candidate: Candidate,
         *,
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -89,7 +89,7 @@
     routing: router.Router,
 ) -> None:
     for number in (0, 3):
-        routing.report(
+        routing.record_report(
             routing.candidates[f"grades-{number}"],
             load=1, limit=10, shed_level=5, now=0.0,
         )  # fmt: skip
