--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -117,7 +117,7 @@
             self.handle_chunk(call, frame.chunk)
             return
         if call.target is not None:
-            call.target.hear(
+            call.target.update_load(
                 busy=frame.busy, limit=frame.limit, now=self.context.now
             )
         if isinstance(frame, frames.Answer):
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -327,7 +327,9 @@
         known.cold_until = self.context.now + state.cold_ms
         known.pressure = state.pressure
         known.work_ms = state.work_ms
-        known.hear(busy=state.busy, limit=state.limit, now=self.context.now)
+        known.update_load(
+            busy=state.busy, limit=state.limit, now=self.context.now
+        )
 
     def handle_config(self, item: link.Link, config: frames.Config) -> None:
         """Passes on a configuration that a peer has sent."""
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -78,7 +78,7 @@
         busy = self.busy + self.open - self.reported_open
         return max(busy, self.open, 0) / max(1, self.limit)
 
-    def hear(self, *, busy: int, limit: int, now: float) -> None:
+    def update_load(self, *, busy: int, limit: int, now: float) -> None:
         """Records the load that the target's node reported."""
         self.busy, self.limit, self.reported_open = busy, limit, self.open
         self.reported_at = now
--- a/tests/routing/test_picker.py
+++ b/tests/routing/test_picker.py
@@ -126,7 +126,7 @@
     def report(self, targets: list[picker.Target], when: float) -> None:
         def receive(now: float) -> None:
             for target, server in zip(targets, self.servers, strict=True):
-                target.hear(busy=server.busy, limit=SLOTS, now=now)
+                target.update_load(busy=server.busy, limit=SLOTS, now=now)
                 target.work_ms = server.work_ms if self.reports_speed else 0.0
             if now < END_MS:
                 self.at(now + REPORT_INTERVAL_MS, receive)
@@ -146,7 +146,7 @@
                 server.running -= 1
                 server.start(when)
                 target.open -= 1
-                target.hear(busy=server.busy, limit=SLOTS, now=when)
+                target.update_load(busy=server.busy, limit=SLOTS, now=when)
                 self.in_time += when - now <= OBJECTIVE_MS
 
             def run(when: float) -> None:
