--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -62,7 +62,7 @@
         self.restored = True
         self.last = newest(self.last, report)
 
-    def hear_left(self, target_id: str, born: int) -> bool:
+    def apply_leave(self, target_id: str, born: int) -> bool:
         """Applies a peer's report that the local target is leaving.
 
         It is accepted even if nothing else is known yet: a restarted node may
--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -79,7 +79,7 @@
     ) -> None:
         """Applies a status received from a peer."""
         self.on_status()
-        if status.left and self.record.hear_left(*status.left):
+        if status.left and self.record.apply_leave(*status.left):
             self.guard.mark_target_leaving()
             self.on_target_left()
         self.feed.handle_status(peer, item, status)
--- a/tests/models/test_drain.py
+++ b/tests/models/test_drain.py
@@ -87,7 +87,7 @@
         if self.store_up:
             self.record.restore(self.entry)
         if self.peer_up and self.peer_knows:
-            self.record.hear_left(self.peer_knows, READY_1.born)
+            self.record.apply_leave(self.peer_knows, READY_1.born)
 
     def believes_ready(self) -> bool:
         last = self.record.last
