--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -49,13 +49,13 @@
     Attributes:
       last: The last accepted report; None before the first.
       restored: Whether the record of the previous process has been read.
-      first: A report that needs a second one to confirm it.
+      unconfirmed: A report that needs a second one to confirm it.
     """
 
     def __init__(self) -> None:
         self.last: Report | None = None
         self.restored = False
-        self.first: Report | None = None
+        self.unconfirmed: Report | None = None
 
     def restore(self, report: Report | None) -> None:
         """Restores the record that the previous process stored."""
@@ -102,8 +102,8 @@
         if last is not None and not is_after(report, last):
             return False
         if report.phase is Phase.READY and last is None and not self.restored:
-            first, self.first = self.first, report
-            if first is None or not is_after(report, first):
+            unconfirmed, self.unconfirmed = self.unconfirmed, report
+            if unconfirmed is None or not is_after(report, unconfirmed):
                 return False
         self.last = report
         return True
--- a/src/currantcart/proxy/targets/target_reports.py
+++ b/src/currantcart/proxy/targets/target_reports.py
@@ -124,7 +124,7 @@
 
     async def apply_first(self) -> None:
         """Applies a report that was received before the store was read."""
-        first, self.record.first = self.record.first, None
+        first, self.record.unconfirmed = self.record.unconfirmed, None
         if first is not None:
             await self.apply(first)
 
