--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -99,11 +99,11 @@
         if report.phase is Phase.LEFT:
             report = self.with_incarnation(report, wall_ms)
         last = self.last
-        if last is not None and not is_after(report, last):
+        if last is not None and not supersedes(report, last):
             return False
         if report.phase is Phase.READY and last is None and not self.restored:
             unconfirmed, self.unconfirmed = self.unconfirmed, report
-            if unconfirmed is None or not is_after(report, unconfirmed):
+            if unconfirmed is None or not supersedes(report, unconfirmed):
                 return False
         self.last = report
         return True
@@ -126,10 +126,10 @@
     """Returns the one of two reports that supersedes the other."""
     if first is None or second is None:
         return first or second
-    return second if is_after(second, first) else first
+    return second if supersedes(second, first) else first
 
 
-def is_after(report: Report, last: Report) -> bool:
+def supersedes(report: Report, last: Report) -> bool:
     """Returns whether a report supersedes another one.
 
     Within an incarnation, leaving is final: only a later incarnation of the
--- a/tests/models/test_drain.py
+++ b/tests/models/test_drain.py
@@ -132,5 +132,5 @@
     ) -> bool:
         return report.sequence >= last.sequence
 
-    monkeypatch.setattr(target_record, "is_after", by_sequence)
+    monkeypatch.setattr(target_record, "supersedes", by_sequence)
     assert broken(frozenset({"store", "peer"})) is not None
