--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -64,7 +64,7 @@
         self.accepted = 0
         self.reported = 0.0
 
-    def note_offer(self, *, refused: bool) -> None:
+    def count_offer(self, *, refused: bool) -> None:
         """Counts a request that the target's queue refused or accepted."""
         if refused:
             self.refused += 1
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -196,11 +196,11 @@
             age_ms=opening.age_ms,
         )
         if verdict is not slots.Verdict.REFUSE:
-            self.gauge.note_offer(refused=False)
+            self.gauge.count_offer(refused=False)
         if verdict is slots.Verdict.RUN:
             self.start(job)
         elif verdict is slots.Verdict.REFUSE:
-            self.gauge.note_offer(refused=True)
+            self.gauge.count_offer(refused=True)
             self.refuse(job, "queue_full")
         elif self.sweeping is None:
             self.sweeping = self.loop.call_later(SWEEP_SECONDS, self.sweep)
@@ -316,7 +316,7 @@
         """Refuses requests that have exceeded their longest wait."""
         self.sweeping = None
         for ticket in self.queue.overdue(self.context.now):
-            self.gauge.note_offer(refused=True)
+            self.gauge.count_offer(refused=True)
             self.refuse(ticket.item, "waited_too_long")
         if self.queue.waiting:
             self.sweeping = self.loop.call_later(SWEEP_SECONDS, self.sweep)
