--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -259,7 +259,7 @@
                 shed_for = overloaded
         return shed_for
 
-    def note_end(
+    def record_end(
         self, *, route: str, levels: Pressure, failed: bool, now: float
     ) -> None:
         """Records how a request ended that was not shed."""
--- a/src/currantcart/proxy/requests/ingress.py
+++ b/src/currantcart/proxy/requests/ingress.py
@@ -52,7 +52,7 @@
     def record_end(self, call: call_module.Call, *, failed: bool) -> None:
         """Records the result of an admitted request."""
         if call.levels:
-            self.shedder.note_end(
+            self.shedder.record_end(
                 route=call.request.route.name,
                 levels=call.levels,
                 failed=failed,
--- a/tests/admission/test_pressure.py
+++ b/tests/admission/test_pressure.py
@@ -100,10 +100,10 @@
     shedder = pressure.Shedder(random.Random(2))
     levels = {"deep": 0.8}
     for step in range(100):
-        shedder.note_end(
+        shedder.record_end(
             route="upload", levels=levels, failed=False, now=step * 10.0
         )
-        shedder.note_end(
+        shedder.record_end(
             route="read", levels=levels, failed=step % 4 == 0, now=step * 10.0
         )
     shed = {
