--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -226,7 +226,7 @@
         self.histograms: dict[str, RankHistogram] = {}
         self.evidence: dict[tuple[str, str], Evidence] = {}
 
-    def shed_by(
+    def shed_for(
         self,
         *,
         route: str,
--- a/src/currantcart/proxy/requests/ingress.py
+++ b/src/currantcart/proxy/requests/ingress.py
@@ -41,7 +41,7 @@
         call.levels = self.pressure_on(call.service)
         if not call.levels:
             return ""
-        return self.shedder.shed_by(
+        return self.shedder.shed_for(
             route=request.route.name,
             service=call.service,
             rank=request.priority,
--- a/tests/admission/test_pressure.py
+++ b/tests/admission/test_pressure.py
@@ -15,7 +15,7 @@
     rng = random.Random(4)
     for step in range(20_000):
         rank = rng.choices([1, 2, 3], weights=[2, 1, 7])[0]
-        shed_for = shedder.shed_by(
+        shed_for = shedder.shed_for(
             route=str(rank),
             service="deep",
             rank=rank,
@@ -109,7 +109,7 @@
     shed = {
         route: sum(
             bool(
-                shedder.shed_by(
+                shedder.shed_for(
                     route=route,
                     service="middle",
                     rank=3,
