--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -137,7 +137,7 @@
     }
 
 
-def coarse(levels: Pressure) -> Pressure:
+def quantize(levels: Pressure) -> Pressure:
     """Returns levels as reported: rounded down, so that echoes die out."""
     reported = {
         name: math.floor(level * LEVEL_STEPS) / LEVEL_STEPS
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -107,7 +107,7 @@
             limit=self.queue.slots,
             busy=self.busy,
             cold_ms=math.ceil(max(0.0, self.cold_until - self.context.now)),
-            pressure=pressure.coarse(self.pressure()),
+            pressure=pressure.quantize(self.pressure()),
             leaving=bool(self.target_id) and not self.ready,
             born=self.born,
             work_ms=math.ceil(self.exchange.speed.reported_ms),
--- a/tests/proxy/streams/test_frames.py
+++ b/tests/proxy/streams/test_frames.py
@@ -153,7 +153,7 @@
                 version=37,
                 as_of_ms=statuses.floor_ms(now - rng.uniform(0.0, 700.0)),
                 target=frames.TargetState(
-                    "i-1", True, 12, 3, pressure=pressure.coarse({"s": level})
+                    "i-1", True, 12, 3, pressure=pressure.quantize({"s": level})
                 ),
                 counts={},
             )
@@ -166,7 +166,7 @@
     """Rounded up, a level that circulates between services would persist."""
     level = 1.0
     for _ in range(60):
-        level = pressure.coarse({"s": 0.9 * level}).get("s", 0.0)
+        level = pressure.quantize({"s": 0.9 * level}).get("s", 0.0)
     assert level == 0.0
 
 
