--- a/bench/experiments/admission.py
+++ b/bench/experiments/admission.py
@@ -57,7 +57,7 @@
         )
         self.admission.expire(now)
         offer = self.admission.offer(call, now)
-        self.admission.note_standing(now)
+        self.admission.update_standing(now)
         if offer.verdict is controller.Verdict.RUN:
             self.run_call(call, now)
         rate = OVERLOAD * SLOTS / WORK_MS
--- a/src/currantcart/admission/controller.py
+++ b/src/currantcart/admission/controller.py
@@ -172,7 +172,7 @@
                 continue
             self.running += 1
             started.append(call)
-        self.note_standing(now)
+        self.update_standing(now)
         return Released(tuple(started), tuple(dropped))
 
     def abandon(self, call: queue.Waiting) -> None:
@@ -189,10 +189,10 @@
         for call in expired:
             self.queue.remove(call)
             self.record_shed(call.priority, now)
-        self.note_standing(now)
+        self.update_standing(now)
         return tuple(Dropped(call, DropReason.EXPIRED) for call in expired)
 
-    def note_standing(self, now: float) -> None:
+    def update_standing(self, now: float) -> None:
         """Records since when the queue has not been empty."""
         if self.queue.size == 0:
             self.standing_since_ms = None
