--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -87,14 +87,14 @@
       priority: Its priority; the lowest number is the most urgent.
       wait_until: When it is refused if it is still waiting.
       started_at: When it got its slot; negative while it waits.
-      gone: Whether it was refused, or left the queue without a slot.
+      discarded: Whether it was refused, or left the queue without a slot.
     """
 
     item: Item
     priority: int
     wait_until: float
     started_at: float = -1.0
-    gone: bool = False
+    discarded: bool = False
 
 
 class SlotQueue(Generic[Item]):
@@ -193,7 +193,7 @@
             self.assign_slot(ticket, now)
             return Verdict.RUN, ticket
         if self.expected_wait_ms(priority) > wait_limit:
-            ticket.gone = True
+            ticket.discarded = True
             return Verdict.REFUSE, ticket
         heapq.heappush(self.heap, (priority, next(self.numbers), ticket))
         self.waiting += 1
@@ -202,8 +202,8 @@
 
     def withdraw(self, ticket: Ticket[Item]) -> None:
         """Removes a request from the queue, unless it has left it already."""
-        if not ticket.gone and ticket.started_at < 0:
-            ticket.gone = True
+        if not ticket.discarded and ticket.started_at < 0:
+            ticket.discarded = True
             self.count_out(ticket)
 
     def count_out(self, ticket: Ticket[Item]) -> None:
@@ -242,7 +242,7 @@
         """
         while self.heap and self.running < self.slots:
             ticket = heapq.heappop(self.heap)[2]
-            if ticket.gone:
+            if ticket.discarded:
                 continue
             self.count_out(ticket)
             self.assign_slot(ticket, now)
@@ -254,12 +254,12 @@
         late = [
             entry[2]
             for entry in self.heap
-            if not entry[2].gone and entry[2].wait_until <= now
+            if not entry[2].discarded and entry[2].wait_until <= now
         ]
         for ticket in late:
             self.withdraw(ticket)
         if late:
-            self.heap = [entry for entry in self.heap if not entry[2].gone]
+            self.heap = [entry for entry in self.heap if not entry[2].discarded]
             heapq.heapify(self.heap)
         return late
 
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -243,7 +243,7 @@
             return
         job.reply = None
         ticket = job.ticket
-        if ticket is None or ticket.gone:
+        if ticket is None or ticket.discarded:
             return
         if ticket.started_at < 0:
             self.queue.withdraw(ticket)
@@ -308,7 +308,7 @@
     def refuse_waiting(self, code: str) -> None:
         """Refuses all waiting requests."""
         for _, _, ticket in list(self.queue.heap):
-            if not ticket.gone:
+            if not ticket.discarded:
                 self.queue.withdraw(ticket)
                 self.refuse(ticket.item, code)
 
