--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -227,7 +227,7 @@
             held_ms=now - ticket.started_at,
         )
 
-    def forfeit(self, ticket: Ticket[Item], now: float) -> None:
+    def release_unused(self, ticket: Ticket[Item], now: float) -> None:
         """Frees the slot of a request that did not start."""
         self.running -= 1
         self.occupancy.end(
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -275,7 +275,7 @@
             job = ticket.item
             reason = self.refusal_reason(job, now)
             if reason:
-                self.queue.forfeit(ticket, now)
+                self.queue.release_unused(ticket, now)
                 self.refuse(job, reason)
             else:
                 self.start(job)
