--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -249,7 +249,7 @@
             return ticket
         return None
 
-    def overdue(self, now: float) -> list[Ticket[Item]]:
+    def remove_overdue(self, now: float) -> list[Ticket[Item]]:
         """Removes and returns the requests that have waited too long."""
         late = [
             entry[2]
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -315,7 +315,7 @@
     def sweep(self) -> None:
         """Refuses requests that have exceeded their longest wait."""
         self.sweeping = None
-        for ticket in self.queue.overdue(self.context.now):
+        for ticket in self.queue.remove_overdue(self.context.now):
             self.gauge.count_offer(refused=True)
             self.refuse(ticket.item, "waited_too_long")
         if self.queue.waiting:
--- a/tests/admission/test_occupancy.py
+++ b/tests/admission/test_occupancy.py
@@ -142,7 +142,7 @@
             now = float(step)
             self.finish(now)
             for target, queue in enumerate(self.queues):
-                for ticket in queue.overdue(now):
+                for ticket in queue.remove_overdue(now):
                     self.refused(target, ticket.item, now, ticket.priority)
             for rank, rate in (
                 (0, self.CALLS_PER_MS),
--- a/tests/admission/test_slots.py
+++ b/tests/admission/test_slots.py
@@ -60,8 +60,10 @@
     slot_queue = queue(1)
     offer(slot_queue, "running")
     offer(slot_queue, "waiting")
-    assert not slot_queue.overdue(400.0)
-    assert [ticket.item for ticket in slot_queue.overdue(460.0)] == ["waiting"]
+    assert not slot_queue.remove_overdue(400.0)
+    assert [ticket.item for ticket in slot_queue.remove_overdue(460.0)] == [
+        "waiting"
+    ]
     assert slot_queue.waiting == 0
 
 
@@ -107,7 +109,7 @@
             following = slot_queue.next(now)
             if following is not None:
                 start(following, now)
-        slot_queue.overdue(now)
+        slot_queue.remove_overdue(now)
         for kind, per_second in (("call", 160), ("root", 200)):
             if rng.random() < per_second / 1_000:
                 offered[kind] += 1
