--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -234,7 +234,7 @@
             kind_of(ticket.priority), now, self.slots, held_ms=None
         )
 
-    def next(self, now: float) -> Ticket[Item] | None:
+    def start_next(self, now: float) -> Ticket[Item] | None:
         """Assigns a free slot to the most urgent waiting request.
 
         Returns:
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -269,7 +269,7 @@
             return
         now = self.context.now
         while True:
-            ticket = self.queue.next(now)
+            ticket = self.queue.start_next(now)
             if ticket is None:
                 return
             job = ticket.item
--- a/tests/admission/test_occupancy.py
+++ b/tests/admission/test_occupancy.py
@@ -132,7 +132,7 @@
                 elapsed_ms = now - ticket.item[0]
                 late = elapsed_ms > self.OBJECTIVE_MS
                 self.ended["late" if late else "in time"] += 1
-            following = queue.next(now)
+            following = queue.start_next(now)
             if following is not None:
                 self.start(target, following, now)
 
--- a/tests/admission/test_slots.py
+++ b/tests/admission/test_slots.py
@@ -43,7 +43,7 @@
     offer(slot_queue, "later", priority=7)
     offer(slot_queue, "sooner", priority=3)
     slot_queue.release(first, 10.0)
-    ticket = slot_queue.next(10.0)
+    ticket = slot_queue.start_next(10.0)
     assert ticket is not None
     assert ticket.item == "sooner"
 
@@ -74,7 +74,7 @@
     slot_queue.withdraw(second)
     slot_queue.withdraw(second)
     slot_queue.release(first, 5.0)
-    assert slot_queue.next(5.0) is None
+    assert slot_queue.start_next(5.0) is None
     assert (slot_queue.running, slot_queue.waiting) == (0, 0)
 
 
@@ -106,7 +106,7 @@
         now = float(step)
         while ends and ends[0][0] <= now:
             slot_queue.release(heapq.heappop(ends)[2], now)
-            following = slot_queue.next(now)
+            following = slot_queue.start_next(now)
             if following is not None:
                 start(following, now)
         slot_queue.remove_overdue(now)
