--- a/src/currantcart/admission/speed.py
+++ b/src/currantcart/admission/speed.py
@@ -25,7 +25,7 @@
     log_ms: float = 0.0
     samples: int = 0
 
-    def note(self, work_ms: float) -> None:
+    def record(self, work_ms: float) -> None:
         """Records the work time of a request that the target completed.
 
         Refused and failed requests take hardly any time and would make a
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -152,7 +152,7 @@
         worked_ms = now - job.handed_at
         self.context.counts.observe("target_seconds", worked_ms)
         if response.status < status.SERVER_ERROR:
-            self.speed.note(worked_ms)
+            self.speed.record(worked_ms)
         if now - job.arrived_at > job.opening.objective_ms * SLOW_OF_OBJECTIVE:
             self.log_slow(job, now)
         self.pool.give_back(connection, now)
--- a/tests/admission/test_speed.py
+++ b/tests/admission/test_speed.py
@@ -13,18 +13,18 @@
     """Guards against a node looking the fastest just after its start."""
     measured = speed.Speed()
     for _ in range(speed.SAMPLES_MIN - 1):
-        measured.note(100.0)
+        measured.record(100.0)
     assert measured.reported_ms == 0.0
-    measured.note(100.0)
+    measured.record(100.0)
     assert measured.reported_ms == pytest.approx(100.0)
 
 
 def test_a_slower_target_is_reported_within_a_hundred_requests() -> None:
     measured = speed.Speed()
     for _ in range(200):
-        measured.note(50.0)
+        measured.record(50.0)
     for _ in range(100):
-        measured.note(200.0)
+        measured.record(200.0)
     assert measured.reported_ms > 150.0
 
 
@@ -34,6 +34,6 @@
     for _ in range(20):
         measured = speed.Speed()
         for _ in range(500):
-            measured.note(880.0 if rng.random() < 0.04 else 55.0)
+            measured.record(880.0 if rng.random() < 0.04 else 55.0)
         reported.append(measured.reported_ms)
     assert max(reported) / min(reported) < 1.3
