--- a/src/currantcart/admission/throttle.py
+++ b/src/currantcart/admission/throttle.py
@@ -74,7 +74,7 @@
     until_ms: float
 
 
-class EdgeThrottle:
+class IngressThrottle:
     """Ingress throttle, driven by the shedding levels on responses."""
 
     def __init__(self, *, rng: random.Random) -> None:
--- a/src/currantcart/node/context.py
+++ b/src/currantcart/node/context.py
@@ -48,7 +48,7 @@
     active: active.ActiveCalls
     router: router.Router
     limiter: limiter.RateLimiter
-    throttle: throttle.EdgeThrottle
+    throttle: throttle.IngressThrottle
     budget: allowance.RetryBudget
     metrics: metrics.Metrics
     recorder: record.Recorder
@@ -93,7 +93,7 @@
             rng=rng,
         ),
         limiter=limiter.RateLimiter(fleet_instances=settings.fleet_instances),
-        throttle=throttle.EdgeThrottle(rng=rng),
+        throttle=throttle.IngressThrottle(rng=rng),
         budget=allowance.RetryBudget(),
         metrics=metrics.Metrics(),
         recorder=record.Recorder(wall=clock.wall),
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -13,11 +13,11 @@
 
 
 @pytest.fixture
-def ingress() -> throttle.EdgeThrottle:
-    return throttle.EdgeThrottle(rng=random.Random(1))
+def ingress() -> throttle.IngressThrottle:
+    return throttle.IngressThrottle(rng=random.Random(1))
 
 
-def overload(ingress: throttle.EdgeThrottle, *, until: int) -> None:
+def overload(ingress: throttle.IngressThrottle, *, until: int) -> None:
     """Sends a call each millisecond, of which one in ten is accepted."""
     for now in range(until):
         if ingress.admit(BROWSE, now):
@@ -27,7 +27,7 @@
 
 
 def test_most_calls_that_would_be_shed_are_refused_at_ingress(
-    ingress: throttle.EdgeThrottle,
+    ingress: throttle.IngressThrottle,
 ) -> None:
     overload(ingress, until=400)
     passed = sum(ingress.admit(BROWSE, 400) for _ in range(1_000))
@@ -35,21 +35,21 @@
 
 
 def test_payments_above_the_level_are_admitted(
-    ingress: throttle.EdgeThrottle,
+    ingress: throttle.IngressThrottle,
 ) -> None:
     overload(ingress, until=400)
     assert all(ingress.admit(PAY, 400) for _ in range(100))
 
 
 def test_throttle_ends_with_the_overload(
-    ingress: throttle.EdgeThrottle,
+    ingress: throttle.IngressThrottle,
 ) -> None:
     overload(ingress, until=400)
     later = 400 + throttle.LEVEL_TTL_MS
     assert all(ingress.admit(BROWSE, later) for _ in range(100))
 
 
-def test_idle_streams_are_evicted(ingress: throttle.EdgeThrottle) -> None:
+def test_idle_streams_are_evicted(ingress: throttle.IngressThrottle) -> None:
     for number in range(throttle.TALLIES_BEFORE_EVICTION + 1):
         ingress.admit(throttle.Stream("s", str(number), 0), number * 20.0)
     assert len(ingress.tallies) < throttle.TALLIES_BEFORE_EVICTION
