--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -277,7 +277,7 @@
         self.lag_ms = lag_ms
         self.expedited_lag_ms = expedited_lag_ms
 
-    def set_silent(self, share: float, now: float) -> None:
+    def set_silent_share(self, share: float, now: float) -> None:
         """Sets the share of the nodes that is silent, 0 to 1.
 
         The available tokens are divided as well, because at the start of a
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -88,7 +88,7 @@
                     not self.reaches(number, other)
                     for other in range(len(self.nodes))
                 )
-                node.set_silent(silent / len(self.nodes), now)
+                node.set_silent_share(silent / len(self.nodes), now)
 
     def admitted_since(self, from_ms: float) -> int:
         return sum(at >= from_ms for at in self.admitted)
