--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -9,7 +9,7 @@
 import dataclasses
 import random
 
-from currantcart.admission import returns, slots
+from currantcart.admission import retry_after, slots
 from currantcart.catalog import model as catalog_model
 from currantcart.fleet import freshness
 from currantcart.proxy import header_names
@@ -225,7 +225,7 @@
             return NOT_READY
         wait_ms = self.quotas.admit(found.name, now)
         if wait_ms:
-            after = returns.return_after_ms(
+            after = retry_after.return_after_ms(
                 objective_ms=objective_ms, least_ms=wait_ms
             )
             return Rejection(429, "rate_exceeded", after, found.name)
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from currantcart.admission import pressure, returns, slots
+from currantcart.admission import pressure, retry_after, slots
 from currantcart.call import attempt, lineage
 from currantcart.http1 import status as status_module
 from currantcart.proxy import context as proxy_context
@@ -257,7 +257,7 @@
 
     def reject(self, call: call_module.Call, code: str) -> None:
         """Rejects a request before any attempt, with a Retry-After."""
-        after = returns.return_after_ms(
+        after = retry_after.return_after_ms(
             objective_ms=call.request.route.objective_ms
         )
         call.retry_after_ms = intake.jitter(after, self.context.rng)
--- a/tests/admission/test_returns.py
+++ b/tests/admission/test_retry_after.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from currantcart.admission import returns
+from currantcart.admission import retry_after
 from currantcart.workspace import quota
 
 RATE = 20.0
@@ -35,7 +35,9 @@
 
 
 def by_objective(token_ms: float, objective_ms: float) -> float:
-    return returns.return_after_ms(objective_ms=objective_ms, least_ms=token_ms)
+    return retry_after.return_after_ms(
+        objective_ms=objective_ms, least_ms=token_ms
+    )
 
 
 def by_token(token_ms: float, objective_ms: float) -> float:
@@ -137,5 +139,5 @@
 
 
 def test_no_retry_before_a_token_can_be_available() -> None:
-    assert returns.return_after_ms(objective_ms=300, least_ms=900) == 900
-    assert returns.return_after_ms(objective_ms=60_000) == 2_000
+    assert retry_after.return_after_ms(objective_ms=300, least_ms=900) == 900
+    assert retry_after.return_after_ms(objective_ms=60_000) == 2_000
