--- a/src/currantcart/admission/retry_after.py
+++ b/src/currantcart/admission/retry_after.py
@@ -19,7 +19,7 @@
 WAIT_MS_MAX = 2_000.0
 
 
-def return_after_ms(*, objective_ms: float, least_ms: float = 0.0) -> float:
+def delay_ms(*, objective_ms: float, least_ms: float = 0.0) -> float:
     """Returns the delay after which a refused request may be retried, in ms.
 
     Args:
--- a/src/currantcart/proxy/requests/intake.py
+++ b/src/currantcart/proxy/requests/intake.py
@@ -225,7 +225,7 @@
             return NOT_READY
         wait_ms = self.quotas.admit(found.name, now)
         if wait_ms:
-            after = retry_after.return_after_ms(
+            after = retry_after.delay_ms(
                 objective_ms=objective_ms, least_ms=wait_ms
             )
             return Rejection(429, "rate_exceeded", after, found.name)
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -257,7 +257,7 @@
 
     def reject(self, call: call_module.Call, code: str) -> None:
         """Rejects a request before any attempt, with a Retry-After."""
-        after = retry_after.return_after_ms(
+        after = retry_after.delay_ms(
             objective_ms=call.request.route.objective_ms
         )
         call.retry_after_ms = intake.jitter(after, self.context.rng)
--- a/tests/admission/test_retry_after.py
+++ b/tests/admission/test_retry_after.py
@@ -35,9 +35,7 @@
 
 
 def by_objective(token_ms: float, objective_ms: float) -> float:
-    return retry_after.return_after_ms(
-        objective_ms=objective_ms, least_ms=token_ms
-    )
+    return retry_after.delay_ms(objective_ms=objective_ms, least_ms=token_ms)
 
 
 def by_token(token_ms: float, objective_ms: float) -> float:
@@ -139,5 +137,5 @@
 
 
 def test_no_retry_before_a_token_can_be_available() -> None:
-    assert retry_after.return_after_ms(objective_ms=300, least_ms=900) == 900
-    assert retry_after.return_after_ms(objective_ms=60_000) == 2_000
+    assert retry_after.delay_ms(objective_ms=300, least_ms=900) == 900
+    assert retry_after.delay_ms(objective_ms=60_000) == 2_000
