--- a/bench/experiments/admission.py
+++ b/bench/experiments/admission.py
@@ -30,7 +30,7 @@
         self.admission.is_standing = (  # type: ignore[method-assign]
             lambda now: self.stands(now, standing_ms)
         )
-        self.events: list[tuple[float, int, queue.Waiting | None]] = []
+        self.events: list[tuple[float, int, queue.WaitingCall | None]] = []
         self.order = itertools.count()
         self.whole = 0
         self.late = 0
@@ -40,10 +40,10 @@
         since = self.admission.standing_since_ms
         return since is not None and now - since > standing_ms
 
-    def push(self, at: float, call: queue.Waiting | None) -> None:
+    def push(self, at: float, call: queue.WaitingCall | None) -> None:
         heapq.heappush(self.events, (at, next(self.order), call))
 
-    def run_call(self, call: queue.Waiting, now: float) -> None:
+    def run_call(self, call: queue.WaitingCall, now: float) -> None:
         self.waits.append(now - call.arrived_ms)
         took = WORK_MS * self.rng.uniform(0.8, 1.2)
         call.arrived_ms = now
@@ -52,7 +52,7 @@
     def arrive(self, now: float) -> None:
         number = next(self.order)
         patience = self.rng.uniform(*PATIENCE_MS)
-        call = queue.Waiting(
+        call = queue.WaitingCall(
             str(number), f"w{number % 4}", 0, now + patience, now
         )
         self.admission.expire(now)
@@ -63,7 +63,7 @@
         rate = OVERLOAD * SLOTS / WORK_MS
         self.push(now + self.rng.expovariate(rate), None)
 
-    def finish(self, call: queue.Waiting, now: float) -> None:
+    def finish(self, call: queue.WaitingCall, now: float) -> None:
         self.whole += now <= call.deadline_ms
         self.late += now > call.deadline_ms
         released = self.admission.finish(now, latency_ms=now - call.arrived_ms)
--- a/src/currantcart/admission/controller.py
+++ b/src/currantcart/admission/controller.py
@@ -41,7 +41,7 @@
 class Dropped:
     """A waiting call that is dropped."""
 
-    waiting: queue.Waiting
+    waiting: queue.WaitingCall
     reason: DropReason
 
 
@@ -69,7 +69,7 @@
       dropped: Calls that are dropped.
     """
 
-    started: tuple[queue.Waiting, ...] = ()
+    started: tuple[queue.WaitingCall, ...] = ()
     dropped: tuple[Dropped, ...] = ()
 
 
@@ -94,7 +94,7 @@
         self.shed_until: dict[int, float] = {}
         self.standing_since_ms: float | None = None
 
-    def offer(self, call: queue.Waiting, now: float) -> Offer:
+    def offer(self, call: queue.WaitingCall, now: float) -> Offer:
         """Decides whether a new call runs, waits or is refused."""
         if not self.enabled:
             self.running += 1
@@ -111,7 +111,7 @@
             return Offer(Verdict.WAIT)
         return self.offer_to_full_queue(call, now)
 
-    def offer_to_full_queue(self, call: queue.Waiting, now: float) -> Offer:
+    def offer_to_full_queue(self, call: queue.WaitingCall, now: float) -> Offer:
         """Decides whether a new call replaces a waiting one."""
         self.queue.push(call)
         victim = self.queue.victim()
@@ -124,7 +124,7 @@
             dropped=(Dropped(victim, DropReason.QUEUE_FULL),),
         )
 
-    def will_miss_deadline(self, call: queue.Waiting, now: float) -> bool:
+    def will_miss_deadline(self, call: queue.WaitingCall, now: float) -> bool:
         """Returns whether a call is expected to miss its deadline."""
         ahead = self.queue.calls_ahead(call.workspace, call.priority)
         wait_ms = self.expected_wait_ms(ahead + 1)
@@ -159,7 +159,7 @@
 
     def fill(self, now: float) -> Released:
         """Starts waiting calls while slots are free."""
-        started: list[queue.Waiting] = []
+        started: list[queue.WaitingCall] = []
         dropped: list[Dropped] = []
         while self.queue.size and self.running < int(self.limit.value):
             call = self.queue.pop(newest_first=self.is_standing(now))
@@ -175,7 +175,7 @@
         self.update_standing(now)
         return Released(tuple(started), tuple(dropped))
 
-    def abandon(self, call: queue.Waiting) -> None:
+    def abandon(self, call: queue.WaitingCall) -> None:
         """Removes a waiting call whose caller left."""
         self.queue.remove(call)
 
@@ -215,7 +215,7 @@
             default=graph_model.NO_SHEDDING,
         )
 
-    def retry_after_ms(self, call: queue.Waiting) -> float:
+    def retry_after_ms(self, call: queue.WaitingCall) -> float:
         """Returns the delay after which a refused caller may retry, in ms."""
         ahead = self.queue.calls_ahead(call.workspace, call.priority)
         wait_ms = self.expected_wait_ms(ahead + 1) + self.service_ms
--- a/src/currantcart/admission/queue.py
+++ b/src/currantcart/admission/queue.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingCall:
     """A call that waits for a slot.
 
     Attributes:
@@ -35,7 +35,7 @@
 class Lane:
     """Waiting calls of one priority, by workspace."""
 
-    calls: dict[str, collections.deque[Waiting]] = dataclasses.field(
+    calls: dict[str, collections.deque[WaitingCall]] = dataclasses.field(
         default_factory=dict
     )
 
@@ -56,7 +56,7 @@
         self.tags: dict[str, float] = {}
         self.virtual_time = 0.0
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingCall) -> None:
         """Appends a call to the queue of its workspace."""
         lane = self.lanes.setdefault(waiting.priority, Lane())
         lane.calls.setdefault(waiting.workspace, collections.deque()).append(
@@ -64,7 +64,7 @@
         )
         self.size += 1
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingCall) -> None:
         """Removes a call from the queue."""
         lane = self.lanes[waiting.priority]
         calls = lane.calls[waiting.workspace]
@@ -91,7 +91,7 @@
             if tag > self.virtual_time
         }
 
-    def pop(self, *, newest_first: bool) -> Waiting:
+    def pop(self, *, newest_first: bool) -> WaitingCall:
         """Removes and returns the call that is served next.
 
         Args:
@@ -108,7 +108,7 @@
         self.charge(workspace)
         return waiting
 
-    def victim(self) -> Waiting:
+    def victim(self) -> WaitingCall:
         """Returns the call to drop first.
 
         It is the oldest of the longest queue at the lowest priority.
@@ -140,7 +140,7 @@
         )
         return higher + same + others
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingCall]:
         """Yields all waiting calls."""
         for lane in list(self.lanes.values()):
             for calls in list(lane.calls.values()):
--- a/src/currantcart/node/arrival.py
+++ b/src/currantcart/node/arrival.py
@@ -23,7 +23,7 @@
     return incoming_module.Incoming(
         opening=opening,
         stream=stream,
-        waiting=queue.Waiting(
+        waiting=queue.WaitingCall(
             call_id=opening.call_id,
             workspace=opening.workspace,
             priority=opening.priority,
--- a/src/currantcart/node/incoming.py
+++ b/src/currantcart/node/incoming.py
@@ -28,7 +28,7 @@
 
     opening: messages.Open
     stream: call_stream.CallStream
-    waiting: queue.Waiting
+    waiting: queue.WaitingCall
     call: active.ActiveCall
     hop: trace.Hop | None = None
     task: asyncio.Task[None] | None = None
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -30,8 +30,8 @@
 
 def waiting(
     number: int, workspace: str, priority: int, deadline_ms: float
-) -> queue.Waiting:
-    return queue.Waiting(str(number), workspace, priority, deadline_ms, 0.0)
+) -> queue.WaitingCall:
+    return queue.WaitingCall(str(number), workspace, priority, deadline_ms, 0.0)
 
 
 class Model:
