--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -146,7 +146,7 @@
     return {name: level for name, level in reported.items() if level >= LEAST}
 
 
-def strongest(parts: Iterable[Pressure]) -> Pressure:
+def highest_levels(parts: Iterable[Pressure]) -> Pressure:
     """Returns the highest level of each service."""
     merged: Pressure = {}
     for levels in parts:
--- a/src/currantcart/proxy/requests/ingress.py
+++ b/src/currantcart/proxy/requests/ingress.py
@@ -67,7 +67,7 @@
         """Returns the pressure on the services that the local target calls."""
         recent = self.context.now - CALLED_MS
         own = self.context.settings.service
-        levels = pressure.strongest(
+        levels = pressure.highest_levels(
             self.pressure_on(service)
             for service, at in self.called.items()
             if at > recent and service != own
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -118,7 +118,7 @@
         local: pressure.Pressure = {}
         if self.gauge.level >= pressure.LEAST:
             local[self.context.settings.service] = round(self.gauge.level, 3)
-        return pressure.strongest([local, self.called_pressure()])
+        return pressure.highest_levels([local, self.called_pressure()])
 
     def update_gauge(self) -> bool:
         """Updates the overload level.
