--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -33,7 +33,7 @@
 """Utilization of the slots below which there is spare capacity."""
 REPORTED_CHANGE_MIN = 0.04
 LEVEL_MAX = 0.9
-LEAST = 0.01
+LEVEL_MIN = 0.01
 LEVEL_STEPS = 256
 """Steps of a reported level; a fraction of few bits compresses well."""
 WAIT_OF_OBJECTIVE = 0.15
@@ -133,7 +133,7 @@
     return {
         name: value / total
         for name, value in sums.items()
-        if value / total >= LEAST
+        if value / total >= LEVEL_MIN
     }
 
 
@@ -143,7 +143,9 @@
         name: math.floor(level * LEVEL_STEPS) / LEVEL_STEPS
         for name, level in levels.items()
     }
-    return {name: level for name, level in reported.items() if level >= LEAST}
+    return {
+        name: level for name, level in reported.items() if level >= LEVEL_MIN
+    }
 
 
 def highest_levels(parts: Iterable[Pressure]) -> Pressure:
--- a/src/currantcart/proxy/streams/reachability.py
+++ b/src/currantcart/proxy/streams/reachability.py
@@ -112,7 +112,7 @@
         for name, level in self.reported_levels(service).items():
             direct = level if name == service else self.direct_level(name)
             estimate = level * FORWARDING_FACTOR if direct is None else direct
-            if estimate >= pressure.LEAST:
+            if estimate >= pressure.LEVEL_MIN:
                 levels[name] = estimate
         self.pressure_cache[service] = (now, levels)
         return levels
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -116,7 +116,7 @@
     def pressure(self) -> pressure.Pressure:
         """Returns the overload of the target and of the services it calls."""
         local: pressure.Pressure = {}
-        if self.gauge.level >= pressure.LEAST:
+        if self.gauge.level >= pressure.LEVEL_MIN:
             local[self.context.settings.service] = round(self.gauge.level, 3)
         return pressure.highest_levels([local, self.called_pressure()])
 
