--- a/src/currantcart/proxy/statuses.py
+++ b/src/currantcart/proxy/statuses.py
@@ -89,7 +89,7 @@
         self, peer: peer_module.Peer, counts: dict[str, int]
     ) -> None:
         """Applies a peer's counts of admitted requests to the rate limits."""
-        self.quotas.hear(
+        self.quotas.apply_counts(
             peer.member.process,
             counts,
             self.context.now,
--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -215,7 +215,7 @@
             if bucket.admitted
         }
 
-    def hear(
+    def apply_counts(
         self,
         peer: str,
         counts: dict[str, int],
--- a/tests/workspace/test_publisher.py
+++ b/tests/workspace/test_publisher.py
@@ -41,7 +41,7 @@
             )
             for other in range(count):
                 if other != number:
-                    node.hear(str(other), {}, 0.0)
+                    node.apply_counts(str(other), {}, 0.0)
             if not started:
                 bucket = node.buckets["mill"]
                 bucket.tokens, bucket.since = rate, float("-inf")
@@ -62,7 +62,7 @@
             self.reported[number] = count
             for other, peer in enumerate(self.nodes):
                 if other != number:
-                    peer.hear(str(number), {"mill": count}, float(step))
+                    peer.apply_counts(str(number), {"mill": count}, float(step))
 
     def simulate(
         self, *, per_second: float, used_nodes: int, from_ms: int = 0
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -65,7 +65,7 @@
             self.reported[number] = counts
             for other, peer in enumerate(self.nodes):
                 if number != other and self.reaches(number, other):
-                    peer.hear(
+                    peer.apply_counts(
                         f"{number}-{self.started_at}",
                         counts,
                         now,
@@ -267,7 +267,7 @@
 def test_what_a_peer_admitted_before_its_first_report_is_past() -> None:
     node = quota.Quotas()
     node.configure({"mill": (RATE, BURST)}, 0.0)
-    node.hear("p", {"mill": 5_000}, 10.0)
+    node.apply_counts("p", {"mill": 5_000}, 10.0)
     assert node.admit("mill", 10.0) == 0.0
 
 
@@ -280,7 +280,7 @@
 ) -> None:
     node = quota.Quotas(started_at=1_000.0)
     node.configure({"mill": (0.0, BURST)}, 1_000.0)
-    node.hear("p", {"mill": 50}, 1_500.0, started_at=started_at)
+    node.apply_counts("p", {"mill": 50}, 1_500.0, started_at=started_at)
     assert node.buckets["mill"].tokens == left
 
 
