--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -135,7 +135,7 @@
             on_fetch=self.feed.exchange.handle_fetch,
             on_call_frame=self.handle_call_frame,
             on_lost=self.handle_link_lost,
-            on_gone=lambda peer: self.quotas.forget(peer.member.process),
+            on_gone=lambda peer: self.quotas.remove_peer(peer.member.process),
             on_counts=self.statuses.apply_counts,
             expedited=self.quotas.expedited,
         )
--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -259,7 +259,7 @@
             return 1.0
         return max(0.0, 1.0 - (now - self.started_at) / max(1.0, age_ms))
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Removes the counts of a peer process that has ended."""
         self.reported.pop(peer, None)
 
