--- a/src/currantcart/fleet/freshness.py
+++ b/src/currantcart/fleet/freshness.py
@@ -113,7 +113,7 @@
 
 
 def first_poll_due(
-    *, now: float, found_at: float, last_poll: float, rank: int
+    *, now: float, peers_listed_at: float, last_poll: float, rank: int
 ) -> bool:
     """Returns whether a node without a configuration should poll the store.
 
@@ -122,11 +122,11 @@
 
     Args:
       now: Milliseconds of the node's clock.
-      found_at: When the node learned which peers it has.
+      peers_listed_at: When the node learned which peers it has.
       last_poll: When this node last polled.
       rank: Its rank among the live nodes; 0 is the first.
     """
     if rank == 0:
         return now - last_poll >= FIRST_POLL_MS
     wait = min(take_over_age_ms(rank) - TAKE_OVER_MS, FIRST_WAIT_MS_MAX)
-    return now - found_at >= wait and now - last_poll >= retry_ms(rank)
+    return now - peers_listed_at >= wait and now - last_poll >= retry_ms(rank)
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -304,7 +304,7 @@
         that the previous process recorded.
         """
         await self.registration.start()
-        self.feed.found_at = self.context.now
+        self.feed.peers_listed_at = self.context.now
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(PEER_WAIT_SECONDS_MAX):
                 await self.peer_status_received.wait()
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -26,7 +26,7 @@
     Attributes:
       exchange: The configuration in force, and its exchange with peers.
       as_of: The store's revision when the configuration was last read.
-      found_at: When the store's entries were first read; None before.
+      peers_listed_at: When the store's entries were first read; None before.
       last_poll: When the last read from the store began.
       read_as_of: When the last successful read from the store began.
       is_store_reachable: Whether the last read from the store succeeded.
@@ -49,7 +49,7 @@
         self.peers: peers.Peers | None = None
         self.exchange = config_exchange.ConfigExchange(context)
         self.as_of = 0
-        self.found_at: float | None = None
+        self.peers_listed_at: float | None = None
         self.last_poll = freshness.NEVER
         self.read_as_of = freshness.NEVER
         self.polling: asyncio.Task[None] | None = None
@@ -74,9 +74,9 @@
                 failing=not self.is_store_reachable,
             )
         # Peers found in the store are tried before the store is read.
-        return self.found_at is not None and freshness.first_poll_due(
+        return self.peers_listed_at is not None and freshness.first_poll_due(
             now=self.context.now,
-            found_at=self.found_at,
+            peers_listed_at=self.peers_listed_at,
             last_poll=self.last_poll,
             rank=self.peers.rank(),
         )
--- a/tests/fleet/test_freshness.py
+++ b/tests/fleet/test_freshness.py
@@ -100,7 +100,7 @@
 ) -> None:
     assert due == freshness.first_poll_due(
         now=5_000.0 + waited,
-        found_at=5_000.0,
+        peers_listed_at=5_000.0,
         last_poll=freshness.NEVER,
         rank=rank,
     )
