--- a/src/currantcart/membership/__init__.py
+++ b/src/currantcart/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances there are: gossip between nodes, in the manner of SWIM."""
+"""Membership of the fleet: failure detection and gossip as in SWIM."""
--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -1,6 +1,6 @@
-"""Failure detector: ping, ask others to ping, suspect, declare dead.
+"""SWIM failure detector: ping, ping-req, suspect, confirm dead.
 
-Pure: `tick` and `receive` return the datagrams to send.
+It does no input or output: `tick` and `receive` return the datagrams to send.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from currantcart.membership import messages, model, table
 
 PERIOD_MS = 500.0
-DIRECT_WAIT_MS = 200.0
-SUSPECT_MS = 2_000.0
-HELPERS = 2
-RUMOUR_PEERS = 4
-SUSPECTS_ASKED = 4
-NEWS_PER_DATAGRAM = 6
+PING_TIMEOUT_MS = 200.0
+SUSPICION_TIMEOUT_MS = 2_000.0
+INDIRECT_PROBES = 2
+GOSSIP_FANOUT = 4
+SUSPECTS_PINGED = 4
+UPDATES_PER_DATAGRAM = 6
 SEED_PERIOD_MS = 2_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A datagram and where it goes."""
+    """A datagram and its destination address."""
 
     address: str
     datagram: messages.Datagram
@@ -30,17 +30,30 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """A member that was pinged and has not answered yet."""
+    """A ping that has not been handle_ack yet.
+
+    Attributes:
+      member: The member that was pinged.
+      sequence: Sequence number of the ping.
+      sent_ms: When the ping was sent.
+      asked_others: Whether other members were asked to ping it.
+    """
 
     member: model.Member
     sequence: int
     sent_ms: float
-    helped: bool = False
+    asked_others: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """A ping sent for another member."""
+    """A ping sent on behalf of another member (an indirect probe).
+
+    Attributes:
+      requester: Address that the ack is forwarded to.
+      sequence: Sequence number in the request.
+      sent_ms: When the request was received.
+    """
 
     requester: str
     sequence: int
@@ -48,12 +61,13 @@
 
 
 class Detector:
-    """Detects failures and spreads news.
+    """Detects failed members and disseminates membership updates.
 
     Attributes:
       table: The members.
       revision: Configuration revision that datagrams carry.
-      strangers: Datagrams of senders whose tables have to be compared.
+      strangers: Datagrams from senders that are unknown or dead in the local
+        table; the tables of both nodes have to be compared.
     """
 
     def __init__(
@@ -79,7 +93,7 @@
     def build(
         self, kind: messages.Kind, *, sequence: int, subject: str = ""
     ) -> messages.Datagram:
-        """Returns a datagram with the present news."""
+        """Returns a datagram with the pending updates piggybacked."""
         return messages.Datagram(
             kind=kind,
             sequence=sequence,
@@ -87,7 +101,7 @@
             sender_address=self.table.own.peers,
             subject=subject,
             revision=self.revision,
-            news=self.table.take_news(NEWS_PER_DATAGRAM),
+            updates=self.table.take_updates(UPDATES_PER_DATAGRAM),
         )
 
     def ping(self, address: str, *, sequence: int) -> Outgoing:
@@ -97,20 +111,26 @@
         )
 
     def next_sequence(self) -> int:
-        """Returns a fresh sequence number."""
+        """Returns the next sequence number."""
         self.sequence += 1
         return self.sequence
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Does what is due; to be called several times a period."""
+        """Sends the probes that are due and expires suspects.
+
+        To be called several times a protocol period.
+
+        Returns:
+          The datagrams to send.
+        """
         sending: list[Outgoing] = []
         sending += self.check_probe(now)
         if now >= self.next_probe_ms:
             self.next_probe_ms = now + PERIOD_MS
-            self.bury_suspects(now)
+            self.confirm_suspects(now)
             sending += self.start_probe(now)
             sending += self.ping_suspects()
-            self.table.forget_dead(now)
+            self.table.remove_dead(now)
             self.relays = {
                 sequence: relay
                 for sequence, relay in self.relays.items()
@@ -122,10 +142,11 @@
         return sending
 
     def ping_seed(self) -> list[Outgoing]:
-        """Pings one seed that is not known alive, to join or to rejoin.
+        """Pings one seed that is not known to be alive, to join or rejoin.
 
-        After a partition each side has buried the other; without this, two
-        halves that forgot each other would stay apart for good.
+        During a long partition each side confirms the other dead and removes
+        it from its table. Without these pings the two sides would not merge
+        after the partition has healed.
         """
         alive = {m.peers for m in self.table.others(model.Status.ALIVE)}
         unknown = [seed for seed in self.seeds if seed not in alive]
@@ -133,30 +154,34 @@
             return []
         seed = self.rng.choice(unknown)
         ping = self.ping(seed, sequence=self.next_sequence())
-        news = (*ping.datagram.news, self.table.own)
-        return [Outgoing(seed, dataclasses.replace(ping.datagram, news=news))]
+        updates = (*ping.datagram.updates, self.table.own)
+        return [
+            Outgoing(seed, dataclasses.replace(ping.datagram, updates=updates))
+        ]
 
     def ping_suspects(self) -> list[Outgoing]:
-        """Asks a few suspects directly, telling them of the suspicion.
+        """Pings a few suspects directly, with the suspicion in the datagram.
 
-        Lost datagrams make suspects of the living. Left to gossip alone, the
-        suspicion may reach its subject too late for an answer in time.
+        Lost datagrams cause suspicion of members that are alive. Disseminated
+        by gossip alone, the suspicion may reach its subject too late to be
+        refuted before the suspicion time-out.
         """
         suspects = self.table.others(model.Status.SUSPECT)
-        chosen = self.rng.sample(suspects, min(SUSPECTS_ASKED, len(suspects)))
+        chosen = self.rng.sample(suspects, min(SUSPECTS_PINGED, len(suspects)))
         sending = []
         for member in chosen:
             ping = self.ping(member.peers, sequence=self.next_sequence())
-            news = (*ping.datagram.news, member)
+            updates = (*ping.datagram.updates, member)
             sending.append(
                 Outgoing(
-                    ping.address, dataclasses.replace(ping.datagram, news=news)
+                    ping.address,
+                    dataclasses.replace(ping.datagram, updates=updates),
                 )
             )
         return sending
 
     def next_member(self) -> model.Member | None:
-        """Returns the next member of a shuffled round."""
+        """Returns the next member to probe: round-robin in shuffled order."""
         statuses = (model.Status.ALIVE, model.Status.SUSPECT)
         present = {m.instance: m for m in self.table.others(*statuses)}
         while self.order:
@@ -168,7 +193,7 @@
         return present[self.order.pop()] if self.order else None
 
     def start_probe(self, now: float) -> list[Outgoing]:
-        """Judges the last probe and starts the next."""
+        """Suspects the last member if it sent no ack, and probes the next."""
         if self.probe is not None:
             self.table.change_status(
                 self.probe.member.instance, model.Status.SUSPECT, now
@@ -182,19 +207,19 @@
         return [self.ping(member.peers, sequence=sequence)]
 
     def check_probe(self, now: float) -> list[Outgoing]:
-        """Asks others to ping a member that has not answered directly."""
+        """Sends ping requests to other members if a ping has timed out."""
         probe = self.probe
-        if probe is None or probe.helped:
+        if probe is None or probe.asked_others:
             return []
-        if now - probe.sent_ms < DIRECT_WAIT_MS:
+        if now - probe.sent_ms < PING_TIMEOUT_MS:
             return []
-        probe.helped = True
+        probe.asked_others = True
         others = [
             m
             for m in self.table.others(model.Status.ALIVE)
             if m.instance != probe.member.instance
         ]
-        helpers = self.rng.sample(others, min(HELPERS, len(others)))
+        helpers = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [
             Outgoing(
                 helper.peers,
@@ -207,11 +232,11 @@
             for helper in helpers
         ]
 
-    def bury_suspects(self, now: float) -> None:
-        """Declares members dead that did not refute in time."""
+    def confirm_suspects(self, now: float) -> None:
+        """Confirms suspects dead that did not refute within the time-out."""
         for member in self.table.others(model.Status.SUSPECT):
             entry = self.table.entries[member.instance]
-            if now - entry.changed_ms >= SUSPECT_MS:
+            if now - entry.changed_ms >= SUSPICION_TIMEOUT_MS:
                 self.table.change_status(
                     member.instance, model.Status.DEAD, now
                 )
@@ -219,15 +244,15 @@
     def receive(
         self, datagram: messages.Datagram, now: float
     ) -> list[Outgoing]:
-        """Takes a datagram and returns the answers."""
+        """Handles a datagram and returns the datagrams to send in reply."""
         sending: list[Outgoing] = []
         if self.is_stranger(datagram.sender):
             self.strangers.append(datagram)
-        for news in datagram.news:
-            self.table.merge(news, now)
+        for update in datagram.updates:
+            self.table.merge(update, now)
         self.table.note_revision(datagram.sender, datagram.revision)
         if datagram.kind is messages.Kind.PING:
-            sending.append(self.answer(datagram))
+            sending.append(self.build_ack(datagram))
         elif datagram.kind is messages.Kind.PING_REQUEST:
             sequence = self.next_sequence()
             self.relays[sequence] = Relay(
@@ -235,33 +260,38 @@
             )
             sending.append(self.ping(datagram.subject, sequence=sequence))
         else:
-            sending += self.acknowledged(datagram)
+            sending += self.handle_ack(datagram)
         return sending
 
     def is_stranger(self, instance: str) -> bool:
-        """Tells whether a sender was forgotten here, or believed gone.
+        """Returns whether a sender is unknown or dead in the local table.
 
-        Its side of a healed partition is unknown here as a whole, and news
-        is spread only a few times; so the tables have to be compared.
+        All members on its side of a healed partition may be unknown here, and
+        an update is sent only a limited number of times, so the complete
+        tables have to be compared.
         """
         entry = self.table.entries.get(instance)
         return entry is None or entry.member.status is model.Status.DEAD
 
     def take_strangers(self) -> list[messages.Datagram]:
-        """Returns the datagrams of strangers since the last time."""
+        """Returns the datagrams of strangers received since the last call."""
         strangers, self.strangers = self.strangers, []
         return strangers
 
-    def answer(self, ping: messages.Datagram) -> Outgoing:
-        """Returns the ack of a ping; it tells a forgotten sender of itself."""
+    def build_ack(self, ping: messages.Datagram) -> Outgoing:
+        """Returns the ack of a ping.
+
+        If the sender is suspected, leaving or dead in the local table, the
+        ack carries that entry, so that the sender can refute it.
+        """
         ack = self.build(messages.Kind.ACK, sequence=ping.sequence)
         entry = self.table.entries.get(ping.sender)
         if entry is not None and entry.member.status is not model.Status.ALIVE:
-            ack = dataclasses.replace(ack, news=(*ack.news, entry.member))
+            ack = dataclasses.replace(ack, updates=(*ack.updates, entry.member))
         return Outgoing(ping.sender_address, ack)
 
-    def acknowledged(self, ack: messages.Datagram) -> list[Outgoing]:
-        """Takes an ack, for itself or for a member that asked for help."""
+    def handle_ack(self, ack: messages.Datagram) -> list[Outgoing]:
+        """Handles an ack of the current probe or of a relayed ping."""
         if self.probe is not None and ack.sequence == self.probe.sequence:
             self.probe = None
             return []
@@ -276,16 +306,16 @@
         ]
 
     def rumour(self) -> list[Outgoing]:
-        """Returns datagrams that tell a few random members of own news."""
+        """Returns pings that carry pending updates to a few random members."""
         others = self.table.others(model.Status.ALIVE)
-        chosen = self.rng.sample(others, min(RUMOUR_PEERS, len(others)))
+        chosen = self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))
         return [
             self.ping(member.peers, sequence=self.next_sequence())
             for member in chosen
         ]
 
     def farewell(self) -> list[Outgoing]:
-        """Returns datagrams that tell all others, at once, of own news."""
+        """Returns pings that carry pending updates to all other members."""
         return [
             self.ping(member.peers, sequence=self.next_sequence())
             for member in self.table.others(
--- a/src/currantcart/membership/isolation.py
+++ b/src/currantcart/membership/isolation.py
@@ -1,37 +1,40 @@
-"""Whether this node may be missing withdrawals of keys.
+"""Detection of isolation, in which a node may miss withdrawals of keys.
 
-A node that hears neither the store nor any peer cannot know of a withdrawal,
-and neither can one that was paused and goes on. After a bound it refuses root
-calls until it hears of either again.
+A node that receives nothing from the store or any peer cannot know that a key
+was withdrawn, and neither can one that resumes after a pause. After a time
+limit the node refuses root calls until the store or a peer is heard from again.
 """
 
 from __future__ import annotations
 
-ISOLATED_MS = 12_000.0
+ISOLATION_TIMEOUT_MS = 12_000.0
 
 
 class Isolation:
-    """When this node last heard from anyone.
+    """Tracks when this node last received anything from the store or a peer.
 
     Attributes:
-      heard_ms: Last word of the store or of a peer.
-      had_peers: Whether there has ever been a peer. A fleet of one node has
-        none to miss, and an outage of the store must not end its service.
+      last_received_ms: When the store or a peer was last heard from.
+      had_peers: Whether a peer was ever heard from. A fleet of one node has
+        no peers, and an outage of the store must not end its service.
     """
 
     def __init__(self, *, now: float) -> None:
-        self.heard_ms = now
+        self.last_received_ms = now
         self.had_peers = False
 
     def heard_store(self, now: float) -> None:
-        """Notes an answer of the store."""
-        self.heard_ms = now
+        """Records an answer of the store."""
+        self.last_received_ms = now
 
     def heard_peer(self, now: float) -> None:
-        """Notes a datagram of a peer."""
-        self.heard_ms = now
+        """Records a datagram from a peer."""
+        self.last_received_ms = now
         self.had_peers = True
 
     def is_isolated(self, now: float) -> bool:
-        """Tells whether withdrawals may have been missed for too long."""
-        return self.had_peers and now - self.heard_ms > ISOLATED_MS
+        """Returns whether nothing was received for longer than the limit."""
+        return (
+            self.had_peers
+            and now - self.last_received_ms > ISOLATION_TIMEOUT_MS
+        )
--- a/src/currantcart/membership/messages.py
+++ b/src/currantcart/membership/messages.py
@@ -1,4 +1,4 @@
-"""Gossip datagrams: typed, msgpack, authenticated by the fleet secret."""
+"""Gossip datagrams: msgpack arrays authenticated with the fleet secret."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Kind(enum.IntEnum):
-    """Kinds of datagrams."""
+    """Kinds of datagrams; the numbers are part of the format."""
 
     PING = 1
     ACK = 2
@@ -28,16 +28,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Datagram:
-    """One datagram.
+    """One gossip datagram.
 
     Attributes:
-      kind: What it asks or answers.
-      sequence: Pairs an ack with its ping.
-      sender: Instance that sends it.
-      sender_address: Where it listens for gossip.
+      kind: Ping, ack or ping request.
+      sequence: Sequence number that matches an ack to its ping.
+      sender: Instance that sends the datagram.
+      sender_address: Gossip address of the sender.
       subject: For a ping request, address of the member to ping.
       revision: Configuration revision in force at the sender.
-      news: Members that changed lately.
+      updates: Piggybacked membership updates.
     """
 
     kind: Kind
@@ -46,16 +46,16 @@
     sender_address: str
     subject: str
     revision: int
-    news: tuple[model.Member, ...]
+    updates: tuple[model.Member, ...]
 
 
 def derive_key(fleet_secret: bytes) -> bytes:
-    """Returns the key that authenticates datagrams."""
+    """Returns the key for the MAC of datagrams."""
     return hmac.digest(fleet_secret, KEY_PURPOSE, hashlib.sha256)
 
 
 def member_fields(member: model.Member) -> tuple[Any, ...]:
-    """Returns a member as msgpack packs it."""
+    """Returns the fields of a member in the order of the format."""
     return (
         member.instance,
         member.incarnation,
@@ -92,20 +92,22 @@
     """Builds a member from unpacked fields.
 
     Raises:
-      ValueError: The fields are not those of a member.
+      ValueError: The number of fields or a type is wrong.
     """
     if not isinstance(fields, list) or len(fields) != len(MEMBER_TYPES):
-        raise ValueError("a member has a wrong number of fields")
+        raise ValueError("a member has the wrong number of fields")
     for value, allowed in zip(fields, MEMBER_TYPES, strict=True):
         if not isinstance(value, allowed):
-            raise ValueError(f"a member field is a {type(value).__name__}")
+            raise ValueError(
+                f"a member field has the wrong type {type(value).__name__}"
+            )
     status = model.Status(fields[3])
     values: list[Any] = [*fields[:3], status, *fields[4:]]
     return model.Member(*values)
 
 
 def encode(key: bytes, datagram: Datagram) -> bytes:
-    """Returns the bytes of a datagram."""
+    """Returns the bytes of a datagram: the MAC and the packed fields."""
     payload: bytes = msgpack.packb(
         (
             int(datagram.kind),
@@ -114,7 +116,7 @@
             datagram.sender_address,
             datagram.subject,
             datagram.revision,
-            [member_fields(member) for member in datagram.news],
+            [member_fields(member) for member in datagram.updates],
         )
     )
     mac = hmac.digest(key, payload, hashlib.sha256)[:MAC_BYTES]
@@ -122,19 +124,19 @@
 
 
 def decode(key: bytes, data: bytes) -> Datagram:
-    """Checks and reads a datagram.
+    """Verifies the MAC of a datagram and decodes it.
 
     Raises:
-      errors.StreamError: It is forged or does not decode.
+      errors.StreamError: The MAC is wrong or the fields do not decode.
     """
     mac, payload = data[:MAC_BYTES], data[MAC_BYTES:]
     expected = hmac.digest(key, payload, hashlib.sha256)[:MAC_BYTES]
     if not hmac.compare_digest(mac, expected):
         raise errors.StreamError(
-            errors.Code.HANDSHAKE_FAILED, "a datagram's signature is wrong"
+            errors.Code.HANDSHAKE_FAILED, "MAC of a gossip datagram is wrong"
         )
     try:
-        kind, sequence, sender, address, subject, revision, news = (
+        kind, sequence, sender, address, subject, revision, updates = (
             msgpack.unpackb(payload)
         )
         return Datagram(
@@ -144,9 +146,10 @@
             sender_address=str(address),
             subject=str(subject),
             revision=int(revision),
-            news=tuple(read_member(fields) for fields in news),
+            updates=tuple(read_member(fields) for fields in updates),
         )
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise errors.StreamError(
-            errors.Code.FRAME_INVALID, f"a datagram does not decode: {error}"
+            errors.Code.FRAME_INVALID,
+            f"cannot decode a gossip datagram: {error}",
         ) from error
--- a/src/currantcart/membership/model.py
+++ b/src/currantcart/membership/model.py
@@ -7,7 +7,7 @@
 
 
 class Status(enum.IntEnum):
-    """What is believed of a member; of equal incarnations the higher wins."""
+    """Status of a member; at equal incarnations the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,18 +21,18 @@
 
     Attributes:
       instance: Its name.
-      incarnation: Grows when it starts anew, refutes a suspicion, or changes
-        what it announces.
-      started: When its target started to serve, as milliseconds since 1970.
-      status: What is believed of it.
-      peers: Address of its streams and its gossip.
-      admin: Address of its admin HTTP.
-      failure_domain: Where it runs.
+      incarnation: Increases when the instance restarts, refutes a suspicion
+        or changes what it announces.
+      started: When its target started to serve, in milliseconds since 1970.
+      status: Status as known locally.
+      peers: Address for streams and gossip.
+      admin: Address of its admin HTTP server.
+      failure_domain: Failure domain in which it runs.
       region: Region of the failure domain.
       service: Service of its target.
       slots: Announced slots of its target; 0 while the target is down.
-      ramp_ms: Time over which its target warms up.
-      revision: Configuration revision in force there when last heard of.
+      ramp_ms: Warm-up time of its target.
+      revision: Last known configuration revision in force there.
     """
 
     instance: str
@@ -49,13 +49,14 @@
     revision: int
 
     def supersedes(self, other: Member) -> bool:
-        """Tells whether this news replaces other news of the instance."""
+        """Returns whether this update overrides another of the instance."""
         return self.order() > other.order()
 
     def order(self) -> tuple[int, int]:
-        """Returns the key by which news of one instance is ordered.
+        """Returns the key that orders updates of one instance.
 
-        The revision is no news: all members change it with each edit, and at
-        a thousand members that alone would fill the datagrams.
+        The revision is left out: all members change it with each edit, and
+        with a thousand members its dissemination alone would fill the
+        datagrams.
         """
         return (self.incarnation, self.status)
--- a/src/currantcart/membership/table.py
+++ b/src/currantcart/membership/table.py
@@ -1,4 +1,4 @@
-"""The member table and the news that is still to be spread."""
+"""Member table and the updates that are still to be disseminated."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from currantcart.membership import model
 
 RETRANSMIT_FACTOR = 3
-DEAD_MEMORY_MS = 60_000.0
+DEAD_RETENTION_MS = 60_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """What is known of one member.
+    """Local state of one member.
 
     Attributes:
-      member: Last news of it.
-      changed_ms: When its status changed here.
-      sends_left: How often its news is still to be sent.
+      member: The latest update.
+      changed_ms: When the entry last changed locally.
+      sends_left: How many more times the update is to be sent.
     """
 
     member: model.Member
@@ -28,11 +28,12 @@
 
 
 class MemberTable:
-    """All members known to one node, itself included.
+    """All members known to one node, including the node itself.
 
     Attributes:
-      own: This node's own entry as it announces it.
-      entries: All members by instance, this node included.
+      own: The local member as it is announced.
+      entries: All members by instance, including the local one.
+      version: Increases when an entry is stored or removed.
     """
 
     def __init__(self, *, own: model.Member, now: float) -> None:
@@ -41,57 +42,60 @@
         self.version = 0
         self.announce(own, now)
 
-    def sends(self) -> int:
-        """Returns how often one piece of news is sent by each node.
+    def sends_per_update(self) -> int:
+        """Returns how many times each node sends one update.
 
-        Logarithmic in the fleet: enough to reach all with high probability,
-        while the bytes of a datagram stay bounded.
+        The number is logarithmic in the size of the fleet: enough to reach
+        all members with high probability while datagrams stay bounded.
         """
         return RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.entries) + 2))
 
     def announce(self, own: model.Member, now: float) -> None:
-        """Takes a new state of this node itself and spreads it."""
+        """Replaces the local member and queues it for dissemination."""
         self.own = own
         self.put(own, now)
 
     def put(self, member: model.Member, now: float) -> None:
-        """Stores news and queues it for spreading."""
-        self.entries[member.instance] = Entry(member, now, self.sends())
+        """Stores an update and queues it for dissemination."""
+        self.entries[member.instance] = Entry(
+            member, now, self.sends_per_update()
+        )
         self.version += 1
 
     def note_revision(self, instance: str, revision: int) -> None:
-        """Remembers the revision of a member, without spreading it."""
+        """Records the revision of a member without disseminating it."""
         entry = self.entries.get(instance)
         if entry is not None and entry.member.revision < revision:
             entry.member = dataclasses.replace(entry.member, revision=revision)
             if instance == self.own.instance:
                 self.own = entry.member
 
-    def merge(self, news: model.Member, now: float) -> bool:
-        """Takes news from a peer.
+    def merge(self, update: model.Member, now: float) -> bool:
+        """Applies an update received from a peer.
 
         Returns:
-          Whether it changed anything.
+          Whether the update changed the table.
         """
-        if news.instance == self.own.instance:
-            return self.merge_own(news, now)
-        entry = self.entries.get(news.instance)
+        if update.instance == self.own.instance:
+            return self.refute(update, now)
+        entry = self.entries.get(update.instance)
         if entry is None:
-            if news.status is model.Status.DEAD:
+            if update.status is model.Status.DEAD:
                 return False
-            self.put(news, now)
+            self.put(update, now)
             return True
-        if not news.supersedes(entry.member):
+        if not update.supersedes(entry.member):
             return False
-        self.put(news, now)
+        self.put(update, now)
         return True
 
     def merge_table(self, members: Iterable[model.Member], now: float) -> None:
-        """Takes a peer's whole table.
+        """Merges the complete table of a peer.
 
-        A peer from the other side of a healed partition believes this whole
-        side dead. Taken at its word, a healing would make every instance
-        disappear until it refutes; as a suspicion it only asks for that.
+        A peer from the other side of a healed partition lists all members of
+        this side as dead. If that were applied, every instance would
+        disappear until it refutes. So dead is downgraded to suspect, which
+        only asks the members to refute.
         """
         for member in members:
             status = min(member.status, model.Status.SUSPECT)
@@ -102,21 +106,23 @@
                 continue
             self.merge(dataclasses.replace(member, status=status), now)
 
-    def merge_own(self, news: model.Member, now: float) -> bool:
-        """Answers news about this node itself.
+    def refute(self, update: model.Member, now: float) -> bool:
+        """Refutes an update about the local member with a new incarnation.
+
+        A node that was paused or cut off is suspected or confirmed dead, and
+        all others avoid it until it announces a higher incarnation.
 
-        A node that is suspected or called dead, since it was paused or cut
-        off, is avoided by all until it says otherwise: it refutes with a
-        higher incarnation.
+        Returns:
+          Whether the update was refuted.
         """
-        if not news.supersedes(self.own):
+        if not update.supersedes(self.own):
             return False
-        if news.incarnation == self.own.incarnation and (
-            news.status <= self.own.status
+        if update.incarnation == self.own.incarnation and (
+            update.status <= self.own.status
         ):
             return False
         self.announce(
-            dataclasses.replace(self.own, incarnation=news.incarnation + 1),
+            dataclasses.replace(self.own, incarnation=update.incarnation + 1),
             now,
         )
         return True
@@ -124,15 +130,19 @@
     def change_status(
         self, instance: str, status: model.Status, now: float
     ) -> bool:
-        """Raises the status of a member on this node's own evidence."""
+        """Raises the status of a member on local evidence.
+
+        Returns:
+          Whether the status changed.
+        """
         entry = self.entries.get(instance)
         if entry is None or entry.member.status >= status:
             return False
         self.put(dataclasses.replace(entry.member, status=status), now)
         return True
 
-    def take_news(self, most: int) -> tuple[model.Member, ...]:
-        """Returns the least spread news and counts it as sent."""
+    def take_updates(self, most: int) -> tuple[model.Member, ...]:
+        """Returns the updates sent least often and counts them as sent."""
         pending = [e for e in self.entries.values() if e.sends_left > 0]
         pending.sort(key=lambda entry: -entry.sends_left)
         chosen = pending[:most]
@@ -140,19 +150,19 @@
             entry.sends_left -= 1
         return tuple(entry.member for entry in chosen)
 
-    def forget_dead(self, now: float) -> None:
-        """Drops members that have been dead or gone for long."""
+    def remove_dead(self, now: float) -> None:
+        """Removes members that were dead or leaving for the retention time."""
         for instance, entry in list(self.entries.items()):
             gone = entry.member.status in (
                 model.Status.DEAD,
                 model.Status.LEAVING,
             )
-            if gone and now - entry.changed_ms > DEAD_MEMORY_MS:
+            if gone and now - entry.changed_ms > DEAD_RETENTION_MS:
                 del self.entries[instance]
                 self.version += 1
 
     def others(self, *statuses: model.Status) -> list[model.Member]:
-        """Returns the other members of given statuses."""
+        """Returns the other members that have one of the statuses."""
         return [
             entry.member
             for entry in self.entries.values()
@@ -161,5 +171,5 @@
         ]
 
     def members(self) -> list[model.Member]:
-        """Returns all members, this node included."""
+        """Returns all members, including the local one."""
         return [entry.member for entry in self.entries.values()]
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -1,4 +1,4 @@
-"""Gossip among pure detectors, with datagrams that get lost."""
+"""Failure detection and gossip over a simulated network with loss."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 class Net:
-    """Detectors that hand each other datagrams."""
+    """Detectors joined by a simulated network with loss and partitions."""
 
     def __init__(self, count: int, *, loss: float = 0.0, seed: int = 1) -> None:
         self.now = 0.0
         self.loss = loss
         self.rng = random.Random(seed)
         self.down: set[str] = set()
-        self.apart: set[str] = set()
-        self.most_bytes = 0
+        self.partitioned: set[str] = set()
+        self.max_datagram_bytes = 0
         self.nodes = {
             f"a{n}": detector.Detector(
                 members=table.MemberTable(own=own(n), now=0.0),
@@ -48,14 +48,14 @@
         return (
             other in self.nodes
             and not {one, other} & self.down
-            and (one in self.apart) == (other in self.apart)
+            and (one in self.partitioned) == (other in self.partitioned)
             and self.rng.random() >= self.loss
         )
 
     def send(self, sender: str, outgoing: list[detector.Outgoing]) -> None:
         for item in outgoing:
             size = len(messages.encode(b"k" * 32, item.datagram))
-            self.most_bytes = max(self.most_bytes, size)
+            self.max_datagram_bytes = max(self.max_datagram_bytes, size)
             if self.reaches(sender, item.address):
                 peer = self.nodes[item.address]
                 self.send(item.address, peer.receive(item.datagram, self.now))
@@ -88,32 +88,32 @@
         )
 
 
-def test_all_learn_of_all() -> None:
+def test_all_members_are_known_to_all() -> None:
     net = Net(12)
     net.run(12)
     assert net.all_alive()
-    assert net.most_bytes <= messages.DATAGRAM_BYTES_MAX
+    assert net.max_datagram_bytes <= messages.DATAGRAM_BYTES_MAX
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_lost_datagrams_bury_no_one(seed: int) -> None:
-    """One datagram of five is lost, for a minute."""
+def test_lost_datagrams_confirm_no_one_dead(seed: int) -> None:
+    """With a fifth of the datagrams lost for a minute, nobody is dead."""
     net = Net(12, loss=0.2, seed=seed + 1)
     net.run(20)
-    buried = set()
+    dead_or_missing = set()
     for _ in range(40):
         net.run(1)
-        buried |= {
+        dead_or_missing |= {
             (a, b)
             for a in range(12)
             for b in range(12)
             if net.status(a, b) in (None, model.Status.DEAD)
         }
-    assert buried == set()
+    assert dead_or_missing == set()
 
 
 def test_dead_instance_is_known_to_all_within_seconds() -> None:
-    """An instance is replaced without a word."""
+    """An instance stops without a leave message."""
     net = Net(12)
     net.run(10)
     net.down.add("a5")
@@ -136,7 +136,7 @@
 
 
 def test_paused_instance_comes_back_under_a_new_incarnation() -> None:
-    """An instance is frozen for ten seconds and thaws."""
+    """An instance is paused for ten seconds and resumes."""
     net = Net(8)
     net.run(10)
     net.down.add("a3")
@@ -147,20 +147,20 @@
     assert net.nodes["a3"].table.own.incarnation > 1
 
 
-def test_two_halves_find_each_other_again() -> None:
-    """Two regions lose each other for minutes and have buried each other."""
+def test_partition_sides_merge_after_healing() -> None:
+    """A partition of minutes, in which each side confirms the other dead."""
     net = Net(10)
     net.run(10)
-    net.apart = {f"a{n}" for n in range(1, 6)}
+    net.partitioned = {f"a{n}" for n in range(1, 6)}
     net.run(180)
     assert net.status(0, 1) in (model.Status.DEAD, None)
-    net.apart = set()
+    net.partitioned = set()
     net.run(40)
     assert net.all_alive()
 
 
-def test_revision_is_heard_and_not_spread() -> None:
-    """Every member changes its revision with each of 1,600 edits a day."""
+def test_revision_is_recorded_and_not_disseminated() -> None:
+    """All members change revision with each edit, 1,600 times a day."""
     net = Net(6)
     net.run(30)
     net.nodes["a0"].revision = 7
@@ -170,7 +170,7 @@
     assert entry.sends_left == 0
 
 
-def test_older_news_never_wins() -> None:
+def test_older_update_never_wins() -> None:
     members = table.MemberTable(own=own(0), now=0.0)
     members.merge(dataclasses.replace(own(1), incarnation=5), 0.0)
     stale = dataclasses.replace(own(1), incarnation=4, status=model.Status.DEAD)
