--- a/src/currantcart/wire/__init__.py
+++ b/src/currantcart/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between nodes: messages, handshake, flow control."""
+"""Streams between nodes: message format, handshake and flow control."""
--- a/src/currantcart/wire/call_stream.py
+++ b/src/currantcart/wire/call_stream.py
@@ -1,7 +1,7 @@
-"""One side of one call on a stream, with flow control of its own.
+"""One side of a call on a stream, with per-call flow control.
 
-The same class serves both sides, and a call that stays in one node: two
-`CallStream`s joined without a connection between them.
+The same class serves the caller's side and the target's side. A call that stays
+in one node uses two `CallStream`s joined without a connection between them.
 """
 
 from __future__ import annotations
@@ -20,17 +20,21 @@
 
 
 def drop_message(message: messages.Message) -> None:
-    """Takes the messages of a call that has ended."""
+    """Discards a message of a call that has ended."""
     del message
 
 
 class CallStream:
-    """Head, body and flow control of one call, seen from one side.
+    """Response head, body and flow control of one side of a call.
 
     Attributes:
       call_number: Number of the call on its stream.
       peer: Instance on the other side.
-      bytes_sent: Whether anything of the call went to the other side.
+      head: Head of the answer or the refusal; None until it arrives.
+      credit: Bytes of the body that may still be sent.
+      unread: Bytes received and not yet read.
+      consumed: Bytes read since the last window update.
+      on_reset: Called when the call fails.
     """
 
     def __init__(
@@ -60,35 +64,35 @@
         self.on_reset: Callable[[], object] | None = None
 
     def hold_body(self) -> None:
-        """Sends nothing beyond the first bytes until the peer grants it.
+        """Withholds the rest of the body until the peer grants credit.
 
-        An upload that is refused before it was admitted can then go to
-        another target whole, since all that was sent is still here.
+        An upload that is refused before admission can then be sent in full
+        to another target, since the bytes sent so far are still at hand.
         """
         self.credit = 0
 
     def grant_body(self) -> None:
-        """Lets the peer send the rest of its body."""
+        """Grants the peer credit to send the rest of its body."""
         if not self.received_last:
             self.send_message(messages.Window(self.call_number, WINDOW_BYTES))
 
     def wake(self) -> None:
-        """Wakes the reader."""
+        """Wakes the reader if it waits for a message."""
         waiter, self.waiter = self.waiter, None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
     def wake_sender(self) -> None:
-        """Wakes the writer that waits for credit."""
+        """Wakes the writer if it waits for credit."""
         waiter, self.send_waiter = self.send_waiter, None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
     def receive(self, message: messages.Message) -> None:
-        """Takes a message of this call.
+        """Handles a message of this call.
 
         Raises:
-          errors.StreamError: The peer sent more than its window.
+          errors.StreamError: The peer exceeded the flow control window.
         """
         if isinstance(message, messages.Answer):
             self.head = message
@@ -111,12 +115,16 @@
             )
 
     def feed(self, chunk: bytes, *, last: bool) -> None:
-        """Takes bytes of the body."""
+        """Buffers received bytes of the body.
+
+        Raises:
+          errors.StreamError: The peer exceeded the flow control window.
+        """
         self.unread += len(chunk)
         if self.unread > WINDOW_BYTES + messages.CHUNK_BYTES_MAX:
             raise errors.StreamError(
                 errors.Code.FLOW_VIOLATION,
-                "peer sent more than its window",
+                "peer exceeded the flow control window of the call",
                 peer=self.peer,
             )
         if chunk:
@@ -125,7 +133,7 @@
         self.wake()
 
     def fail(self, error: errors.StreamError) -> None:
-        """Ends the call with an error for both reader and writer."""
+        """Ends the call with an error for its reader and writer."""
         if self.error is None:
             self.error = error
         on_reset = self.on_reset
@@ -136,15 +144,15 @@
             on_reset()
 
     async def wait(self) -> None:
-        """Waits until something arrives."""
+        """Waits until a message arrives or the call fails."""
         self.waiter = self.loop.create_future()
         await self.waiter
 
     async def answer(self) -> Head:
-        """Waits for the head of the answer.
+        """Waits for the head of the answer or for a refusal.
 
         Raises:
-          errors.StreamError: The call ended without one.
+          errors.StreamError: The call failed before either arrived.
         """
         while self.head is None:
             if self.error is not None:
@@ -153,7 +161,7 @@
         return self.head
 
     def read_nowait(self) -> bytes:
-        """Returns all bytes that are here."""
+        """Returns all buffered bytes and sends a window update when due."""
         chunk = (
             self.chunks.popleft()
             if len(self.chunks) == 1
@@ -169,14 +177,14 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether all bytes of the other side's body were read."""
+        """Whether the body of the other side was read to its end."""
         return self.received_last and not self.chunks
 
     async def read(self) -> bytes:
         """Returns the next bytes of the body; empty at its end.
 
         Raises:
-          errors.StreamError: The body was cut short.
+          errors.StreamError: The call failed before the end of the body.
         """
         while not self.chunks:
             if self.error is not None:
@@ -187,10 +195,10 @@
         return self.read_nowait()
 
     async def send(self, chunk: bytes, *, last: bool) -> None:
-        """Sends bytes of this side's body, waiting for the window.
+        """Sends bytes of this side's body, waiting for credit.
 
         Raises:
-          errors.StreamError: The call has ended.
+          errors.StreamError: The call has failed.
         """
         for start in range(0, len(chunk), messages.CHUNK_BYTES_MAX):
             part = chunk[start : start + messages.CHUNK_BYTES_MAX]
@@ -204,7 +212,11 @@
             self.send_data(b"", last=True)
 
     async def wait_for_credit(self) -> None:
-        """Waits until the other side takes more bytes."""
+        """Waits until the other side grants credit.
+
+        Raises:
+          errors.StreamError: The call has failed.
+        """
         while self.credit <= 0 and self.error is None:
             self.send_waiter = self.loop.create_future()
             await self.send_waiter
@@ -212,12 +224,12 @@
             raise self.error
 
     def send_data(self, chunk: bytes, *, last: bool) -> None:
-        """Sends one part without waiting."""
+        """Sends one part of the body without waiting."""
         self.sent_last = self.sent_last or last
         self.send_message(messages.Data(self.call_number, chunk, last))
 
     def send_answer(self, answer: messages.Answer) -> None:
-        """Sends the head of the answer and its first bytes."""
+        """Sends the head of the answer and the first bytes of its body."""
         self.credit -= len(answer.chunk)
         self.sent_last = answer.last
         self.send_message(answer)
@@ -229,17 +241,17 @@
         self.close()
 
     def reset(self, code: errors.Code, detail: str) -> None:
-        """Ends the call at once, here and on the other side."""
+        """Aborts the call on both sides, unless both have finished."""
         if self.error is None and not (self.sent_last and self.received_last):
             self.send_message(messages.Reset(self.call_number, code, detail))
             self.error = errors.StreamError(code, detail, peer=self.peer)
         self.close()
 
     def close(self) -> None:
-        """Forgets the call on its stream, and drops what it refers to.
+        """Removes the call from its stream and breaks reference cycles.
 
-        The call refers back to this stream. Left to the garbage collector,
-        many objects a call pile up, and its pauses are the slowest calls.
+        The stream and the call refer to each other. If such cycles were left
+        to the garbage collector, its pauses would cause the slowest calls.
         """
         self.forget(self.call_number)
         self.on_reset = None
--- a/src/currantcart/wire/codec.py
+++ b/src/currantcart/wire/codec.py
@@ -1,8 +1,7 @@
-"""Messages as msgpack arrays in frames.
+"""Encoding of messages as length-prefixed msgpack arrays.
 
-Each frame is a length of four bytes, big-endian, and an array. The array's
-first element is the kind; the rest are the fields of the message class in
-their order.
+A frame is a four-byte big-endian length followed by an array. The first element
+of the array is the kind; the rest are the fields of the message class in order.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 def encode(message: messages.Message) -> bytes:
-    """Returns the bytes of a message: its length and its msgpack array."""
+    """Returns the frame of a message."""
     kind = message.KIND
     values = [getattr(message, name) for name in FIELD_NAMES[kind]]
     packed: bytes = PACKER.pack((kind, *values))
@@ -36,24 +35,24 @@
 
 
 class FrameReader:
-    """Cuts one stream's bytes into messages, with all sizes bounded.
+    """Splits the bytes of one stream into messages of bounded size.
 
-    msgpack's own streaming `Unpacker` keeps a large buffer for each stream,
-    which with many streams is more than control may hold; frames of a known
-    length need nothing between them.
+    The streaming `Unpacker` of msgpack keeps a large buffer for each stream,
+    which with many streams exceeds the memory limit of a node. Frames with a
+    length prefix need no buffer between frames.
 
     Attributes:
-      rest: Bytes of a frame that is not whole yet.
+      rest: Bytes of an incomplete frame.
     """
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> Iterator[messages.Message]:
-        """Takes bytes and yields the messages that are whole.
+        """Yields the messages that received bytes complete.
 
         Raises:
-          errors.StreamError: A frame is too large or no valid message.
+          errors.StreamError: A frame is too large or not a valid message.
         """
         buffer = self.rest + data if self.rest else data
         self.rest = b""
@@ -63,7 +62,7 @@
             if size > FRAME_BYTES_MAX:
                 raise errors.StreamError(
                     errors.Code.FRAME_TOO_LARGE,
-                    f"a frame has {size} bytes, allowed: {FRAME_BYTES_MAX}",
+                    f"frame of {size} bytes, allowed: {FRAME_BYTES_MAX}",
                 )
             end = start + LENGTH.size + size
             if end > len(buffer):
@@ -74,10 +73,11 @@
 
 
 def unpack(frame: bytes) -> object:
-    """Returns the value of one frame.
+    """Unpacks the msgpack value of one frame.
 
     Raises:
-      errors.StreamError: It is not exactly one msgpack value.
+      errors.StreamError: The frame is not exactly one msgpack value, or an
+        array exceeds its limit.
     """
     try:
         value: object = msgpack.unpackb(
@@ -97,7 +97,7 @@
 
 
 def is_headers(value: list[Any]) -> bool:
-    """Tells whether a list holds pairs of texts only."""
+    """Returns whether a list consists of pairs of strings."""
     return all(
         type(pair) is list
         and len(pair) == 2
@@ -111,19 +111,23 @@
     """Builds a message from an unpacked frame.
 
     Raises:
-      errors.StreamError: The frame is no valid message.
+      errors.StreamError: The frame is not a valid message.
     """
     if type(frame) is not list or not frame or type(frame[0]) is not int:
-        raise invalid("it is no message")
+        raise invalid("not an array that starts with a kind")
     cls = messages.CLASSES.get(frame[0])
     if cls is None:
-        raise invalid(f"kind {frame[0]} is unknown")
+        raise invalid(f"unknown kind {frame[0]}")
     values = frame[1:]
     if len(values) != len(cls.TYPES):
-        raise invalid(f"{cls.__name__} has {len(values)} fields")
+        raise invalid(
+            f"{cls.__name__} has the wrong number of fields: {len(values)}"
+        )
     for value, allowed in zip(values, cls.TYPES, strict=True):
         if not isinstance(value, allowed):
-            raise invalid(f"{cls.__name__} has a {type(value).__name__}")
+            raise invalid(
+                f"{cls.__name__} has a wrong type: {type(value).__name__}"
+            )
     message: messages.Message = cls(*values)
     if not isinstance(message, messages.Open | messages.Answer):
         return message
@@ -133,7 +137,7 @@
 
 
 def invalid(detail: str) -> errors.StreamError:
-    """Returns the error for a frame that is refused."""
+    """Returns the error for a frame that cannot be decoded."""
     return errors.StreamError(
-        errors.Code.FRAME_INVALID, f"a frame does not decode: {detail}"
+        errors.Code.FRAME_INVALID, f"cannot decode a frame: {detail}"
     )
--- a/src/currantcart/wire/connection.py
+++ b/src/currantcart/wire/connection.py
@@ -1,4 +1,4 @@
-"""One stream to another node: many calls over one TCP connection."""
+"""Stream to another node: calls multiplexed over one TCP connection."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 
 class Service(Protocol):
-    """What a node does with streams."""
+    """Handlers of a node for the events of its streams."""
 
     def opened(self, stream: Connection) -> None:
-        """Notes a stream whose handshake is done."""
+        """Handles the completed handshake of a stream."""
 
     def call_arrived(
         self, opening: messages.Open, call: call_stream.CallStream
     ) -> None:
-        """Takes a call from a peer."""
+        """Handles a call opened by a peer."""
 
     def state_message(
         self, message: messages.Fetch | messages.State, stream: Connection
     ) -> None:
-        """Takes a message about configuration and members."""
+        """Handles a message about the configuration and the members."""
 
     def rate_message(
         self, message: messages.Ask | messages.Give, stream: Connection
     ) -> None:
-        """Takes a message about workspaces' rates."""
+        """Handles a message about loans of workspaces' tokens."""
 
     def closed(self, stream: Connection, error: Exception | None) -> None:
-        """Notes the end of a stream."""
+        """Handles the end of a stream."""
 
 
 class Connection(asyncio.Protocol):
-    """One stream.
+    """One stream to a peer.
 
     Attributes:
-      handshake: Its handshake.
-      calls: Calls that run on it, by number. The dialer's calls have odd
-        numbers and the acceptor's even ones, so both may open calls.
-      ready: Done when the handshake is.
+      handshake: State of the handshake.
+      calls: Open calls by number. Calls of the dialer have odd numbers and
+        those of the acceptor even ones, so that both may open calls.
+      ready: Completed when the handshake is done or has failed.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.next_number = 1 if dialer else 2
         self.error: Exception | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.calls_taken = 0
+        self.last_call_number = 0
 
     @property
     def peer(self) -> str:
@@ -76,21 +76,21 @@
         """Starts the handshake."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.loop.call_later(
-            HANDSHAKE_SECONDS_MAX, self.handshake_late
+            HANDSHAKE_SECONDS_MAX, self.on_handshake_timeout
         )
         self.send(self.handshake.hello())
 
-    def handshake_late(self) -> None:
-        """Ends a stream whose peer never proves itself."""
-        self.abort(self.handshake.failed("the handshake took too long"))
+    def on_handshake_timeout(self) -> None:
+        """Aborts the stream when the handshake times out."""
+        self.abort(self.handshake.failed("handshake timed out"))
 
     def send(self, message: messages.Message) -> None:
-        """Sends a message; a stream that is gone drops it."""
+        """Sends a message, or discards it if the stream is closed."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(codec.encode(message))
 
     def data_received(self, data: bytes) -> None:
-        """Decodes what arrived; a bad frame ends this stream only."""
+        """Handles received bytes; an invalid frame aborts only this stream."""
         try:
             for message in self.frames.feed(data):
                 self.receive(message)
@@ -100,7 +100,7 @@
             self.abort(codec.invalid(str(error)))
 
     def receive(self, message: messages.Message) -> None:
-        """Takes one message."""
+        """Dispatches one message."""
         if not self.handshake.done:
             self.receive_handshake(message)
         elif isinstance(message, messages.Open):
@@ -110,16 +110,16 @@
         elif isinstance(message, (messages.Ask, messages.Give)):
             self.service.rate_message(message, self)
         elif isinstance(message, (messages.Hello, messages.Proof)):
-            raise self.handshake.failed("a second handshake")
+            raise self.handshake.failed("unexpected second handshake")
         else:
             call = self.calls.get(message.call_number)
-            # A message may cross the end of its call on the way; it is
-            # dropped, and cannot reach another call: numbers are not reused.
+            # A message may arrive after its call has ended. It is discarded
+            # and cannot reach another call, since numbers are not reused.
             if call is not None:
                 call.receive(message)
 
     def receive_handshake(self, message: messages.Message) -> None:
-        """Takes a message of the handshake."""
+        """Handles a handshake message."""
         reply = self.handshake.receive(message)
         if reply is not None:
             self.send(reply)
@@ -131,27 +131,34 @@
             self.service.opened(self)
 
     def receive_open(self, opening: messages.Open) -> None:
-        """Takes a call that the peer opens."""
-        own_parity = self.next_number % 2
-        if opening.call_number % 2 == own_parity or (
-            opening.call_number <= self.calls_taken
+        """Registers a call opened by the peer.
+
+        Raises:
+          errors.StreamError: The call number is invalid or was used before,
+            or too many calls are open.
+        """
+        local_parity = self.next_number % 2
+        if opening.call_number % 2 == local_parity or (
+            opening.call_number <= self.last_call_number
         ):
             raise errors.StreamError(
                 errors.Code.FRAME_INVALID,
-                "a call number was used twice",
+                "call number is invalid or was used before",
                 peer=self.peer,
             )
         if len(self.calls) >= CALLS_MAX:
             raise errors.StreamError(
-                errors.Code.FLOW_VIOLATION, "too many calls", peer=self.peer
+                errors.Code.FLOW_VIOLATION,
+                "too many open calls",
+                peer=self.peer,
             )
-        self.calls_taken = opening.call_number
+        self.last_call_number = opening.call_number
         call = self.new_call(opening.call_number)
         call.feed(opening.chunk, last=opening.last)
         self.service.call_arrived(opening, call)
 
     def new_call(self, call_number: int) -> call_stream.CallStream:
-        """Registers one side of a call."""
+        """Creates and registers this side of a call."""
         call = call_stream.CallStream(
             call_number=call_number,
             peer=self.peer,
@@ -163,18 +170,18 @@
         return call
 
     def forget(self, call_number: int) -> None:
-        """Drops a call that has ended."""
+        """Removes a call that has ended."""
         self.calls.pop(call_number, None)
 
     def open(self, opening: messages.Open) -> call_stream.CallStream:
         """Opens a call to the peer.
 
         Raises:
-          errors.StreamError: The stream is gone; nothing was sent.
+          errors.StreamError: The stream is not usable; nothing was sent.
         """
         if not self.usable:
             raise errors.StreamError(
-                errors.Code.PEER_UNREACHABLE, "stream closed", peer=self.peer
+                errors.Code.PEER_UNREACHABLE, "stream is closed", peer=self.peer
             )
         opening.call_number = self.next_number
         self.next_number += 2
@@ -186,7 +193,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether calls can be opened on it."""
+        """Whether calls can be opened on the stream."""
         return (
             self.handshake.done
             and self.transport is not None
@@ -194,18 +201,18 @@
         )
 
     def abort(self, error: Exception) -> None:
-        """Ends the stream and all calls on it."""
+        """Aborts the stream, which fails all calls on it."""
         self.error = self.error or error
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Closes the stream after what was written."""
+        """Closes the stream after the buffered data was sent."""
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails every call that still ran on the stream."""
+        """Fails all open calls of the stream."""
         if self.timer is not None:
             self.timer.cancel()
         error = self.error or exc
@@ -217,7 +224,7 @@
             call.fail(
                 errors.StreamError(
                     errors.Code.PEER_LOST,
-                    f"stream to {self.peer} was lost",
+                    f"lost the stream to {self.peer}",
                     peer=self.peer,
                 )
             )
@@ -231,7 +238,7 @@
     instance: str,
     loop: asyncio.AbstractEventLoop,
 ) -> tuple[call_stream.CallStream, call_stream.CallStream]:
-    """Joins two sides of a call that stays in one node.
+    """Creates both sides of a call that stays in one node.
 
     Returns:
       The caller's side and the target's side.
--- a/src/currantcart/wire/handshake.py
+++ b/src/currantcart/wire/handshake.py
@@ -1,8 +1,8 @@
-"""Handshake of a stream: version and proof of the fleet secret.
+"""Handshake of a stream: version negotiation and mutual authentication.
 
-Pure: messages in, messages out. Each side proves that it holds the secret
-over both nonces and both names, so a proof serves on one stream, in one
-direction, once.
+It does no input or output: messages in, messages out. Each side proves that it
+holds the fleet secret with a MAC over both nonces, both names and its role, so
+a proof is valid on one stream and in one direction only.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 
 class Role(enum.StrEnum):
-    """Which side opened the stream."""
+    """Role of a side: the dialer opened the stream."""
 
     DIALER = "dialer"
     ACCEPTOR = "acceptor"
 
 
 class Handshake:
-    """State of one side until the stream is open.
+    """Handshake state of one side of a stream.
 
     Attributes:
       peer: Instance on the other side; empty before its hello.
-      version: Wire version agreed on; 0 before it.
-      done: Whether messages other than the handshake's may flow.
+      version: Negotiated wire version; 0 before the peer's hello.
+      done: Whether the peer has proved the secret, so that other messages
+        are accepted.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         )
 
     def proof_of(self, role: Role) -> bytes:
-        """Returns the proof that a side must show."""
+        """Returns the MAC that the side with a role must send."""
         dialer = (self.instance, self.nonce)
         acceptor = (self.peer, self.peer_nonce)
         if self.role is Role.ACCEPTOR:
@@ -74,41 +75,45 @@
         return hmac.digest(self.key, text, hashlib.sha256)
 
     def receive(self, message: messages.Message) -> messages.Message | None:
-        """Takes a message of the handshake.
+        """Handles a handshake message.
 
         Returns:
-          The message to send in return, if any.
+          The message to send in reply, if any.
 
         Raises:
-          errors.StreamError: The peer speaks no common version, lacks the
-            secret, or sends something else.
+          errors.StreamError: There is no common wire version, the peer does
+            not hold the secret, or the message is unexpected.
         """
         if isinstance(message, messages.Hello) and not self.peer:
             return self.receive_hello(message)
         if isinstance(message, messages.Proof) and self.peer:
             other = Role.ACCEPTOR if self.role is Role.DIALER else Role.DIALER
             if not hmac.compare_digest(message.mac, self.proof_of(other)):
-                raise self.failed("the peer does not hold the fleet secret")
+                raise self.failed(
+                    "wrong proof of the fleet secret from the peer"
+                )
             self.done = True
-            # The acceptor proves itself last: a stranger that dials learns
-            # nothing that it could send elsewhere.
+            # The acceptor sends its proof last, so that an unauthenticated
+            # dialer obtains no proof that it could replay elsewhere.
             if self.role is Role.ACCEPTOR:
                 return messages.Proof(self.proof_of(self.role))
             return None
-        raise self.failed(f"unexpected {type(message).__name__}")
+        raise self.failed(f"unexpected message {type(message).__name__}")
 
     def receive_hello(self, hello: messages.Hello) -> messages.Message | None:
-        """Takes the peer's hello."""
+        """Handles the hello of the peer and negotiates the version."""
         version = min(VERSION_MAX, hello.version_max)
         if version < max(VERSION_MIN, hello.version_min):
             raise errors.StreamError(
                 errors.Code.VERSION_UNSUPPORTED,
-                f"peer speaks wire versions {hello.version_min} to "
-                f"{hello.version_max}, allowed: {VERSION_MIN} to {VERSION_MAX}",
+                f"peer supports wire versions {hello.version_min} to "
+                f"{hello.version_max}, local: {VERSION_MIN} to {VERSION_MAX}",
                 peer=hello.instance,
             )
         if len(hello.nonce) != NONCE_BYTES or not hello.instance:
-            raise self.failed("malformed hello")
+            raise self.failed(
+                "malformed hello: no instance or wrong nonce length"
+            )
         self.version = version
         self.peer = hello.instance
         self.peer_nonce = hello.nonce
@@ -117,7 +122,7 @@
         return None
 
     def failed(self, detail: str) -> errors.StreamError:
-        """Returns the error that ends the stream."""
+        """Returns the error for a failed handshake."""
         return errors.StreamError(
             errors.Code.HANDSHAKE_FAILED, detail, peer=self.peer
         )
--- a/src/currantcart/wire/messages.py
+++ b/src/currantcart/wire/messages.py
@@ -1,6 +1,6 @@
-"""Messages on a stream between two nodes.
+"""Messages on a stream between two nodes, as in docs/reference/wire.md.
 
-docs/reference/wire.md lists them.
+The kinds and the types and order of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Open:
-    """Starts a call.
+    """Opens a call.
 
     Attributes:
       call_number: Number of the call on this stream.
       call_id: Unique id of the call.
       root_id: Id of its root call.
-      service: Service called.
+      service: Called service.
       method: HTTP method.
       path: Path and query for the target.
       headers: Headers for the target, as pairs.
       workspace: Workspace of the root call.
       key_id: Key of the root call.
       importance: Importance of the root call.
-      priority: Order under overload.
-      remaining_ms: Time left; a duration, since clocks differ.
-      allowance: Retries lent to the call and all below.
+      priority: Rank for shedding under overload.
+      remaining_ms: Time left until the deadline; a duration, since the clocks
+        of nodes differ.
+      allowance: Retry allowance lent to the call and all calls below it.
       depth: 0 for a root call.
       traceparent: W3C trace context; empty without a trace.
       chunk: First bytes of the body.
-      last: Whether `chunk` is the whole body.
+      last: Whether `chunk` is the complete body.
     """
 
     KIND: ClassVar[int] = 1
@@ -63,18 +64,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """Starts a target's answer.
+    """Starts the answer of a target.
 
     Attributes:
       call_number: Number of the call on this stream.
       status: HTTP status.
       headers: Headers, as pairs.
-      allowance: Retries that were not used.
+      allowance: Unused part of the retry allowance.
       shed_level: Highest level at which a call of the chain was shed.
       load: Calls running and waiting at the target.
-      limit: Its limit on running calls.
+      limit: Concurrency limit of the target.
       chunk: First bytes of the body.
-      last: Whether `chunk` is the whole body.
+      last: Whether `chunk` is the complete body.
     """
 
     KIND: ClassVar[int] = 2
@@ -94,20 +95,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Refuse:
-    """Ends a call without a target's answer.
+    """Ends a call without an answer of a target.
 
     Attributes:
       call_number: Number of the call on this stream.
-      code: What went wrong, a value of `errors.Code`.
-      step: Where, a value of `errors.Step`.
-      peer: Instance that says so.
-      detail: One line for people.
-      not_run: Whether the call certainly did not run.
-      retry_after_ms: When coming back may help.
-      allowance: Retries that were not used.
+      code: Reason, a value of `errors.Code`.
+      step: Step that failed, a value of `errors.Step`.
+      peer: Instance that refuses.
+      detail: Description in one line.
+      not_run: Whether the call is known not to have run.
+      retry_after_ms: Time after which a retry may succeed.
+      allowance: Unused part of the retry allowance.
       shed_level: Highest level at which a call of the chain was shed.
       load: Calls running and waiting at the target.
-      limit: Its limit on running calls.
+      limit: Concurrency limit of the target.
     """
 
     KIND: ClassVar[int] = 3
@@ -129,7 +130,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Data:
-    """A part of a body, in either direction."""
+    """Carries a part of a body, in either direction."""
 
     KIND: ClassVar[int] = 4
     TYPES: ClassVar[tuple[Any, ...]] = (int, bytes, bool)
@@ -140,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """Allows the other side to send more bytes of a call's body."""
+    """Grants the other side credit for more bytes of a call's body."""
 
     KIND: ClassVar[int] = 5
     TYPES: ClassVar[tuple[Any, ...]] = (int, int)
@@ -150,7 +151,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reset:
-    """Ends a call at once, in either direction."""
+    """Aborts a call, in either direction."""
 
     KIND: ClassVar[int] = 6
     TYPES: ClassVar[tuple[Any, ...]] = (int, str, str)
@@ -161,13 +162,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Hello:
-    """First message of each side.
+    """Starts the handshake; the first message of each side.
 
     Attributes:
-      version_min: Oldest wire version that the sender speaks.
-      version_max: Newest one.
-      instance: The sender.
-      nonce: Random bytes for the proof of the other side.
+      version_min: Oldest wire version that the sender supports.
+      version_max: Newest wire version that the sender supports.
+      instance: Instance that sends the message.
+      nonce: Random bytes that both proofs cover.
     """
 
     KIND: ClassVar[int] = 7
@@ -180,7 +181,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Proof:
-    """Shows that the sender holds the fleet secret."""
+    """Proves that the sender holds the fleet secret."""
 
     KIND: ClassVar[int] = 8
     TYPES: ClassVar[tuple[Any, ...]] = (bytes,)
@@ -189,7 +190,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Fetch:
-    """Asks for the configuration and the members known to the peer."""
+    """Requests the configuration and the members known to the peer."""
 
     KIND: ClassVar[int] = 9
     TYPES: ClassVar[tuple[Any, ...]] = (int,)
@@ -202,8 +203,8 @@
 
     Attributes:
       revision: Configuration revision in force; 0 without one.
-      document: Its text; empty when the asker has it already.
-      members: Members as field lists.
+      document: Text of the configuration; empty if the requester has it.
+      members: Members as lists of fields.
     """
 
     KIND: ClassVar[int] = 10
@@ -215,12 +216,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Ask:
-    """Asks for a loan of a workspace's tokens.
+    """Requests a loan of a workspace's tokens.
 
     Attributes:
-      number: Pairs the answer with the question.
-      workspace: Whose tokens.
-      amount: How many at most.
+      number: Matches the answer to the request.
+      workspace: Workspace of the tokens.
+      amount: Maximum number of tokens.
     """
 
     KIND: ClassVar[int] = 11
@@ -232,7 +233,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Give:
-    """Answers an `Ask`; 0 when there is nothing to lend."""
+    """Answers an `Ask`; the amount is 0 if no tokens can be lent."""
 
     KIND: ClassVar[int] = 12
     TYPES: ClassVar[tuple[Any, ...]] = (int, NUMBER)
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames: what is sent comes back, and nothing else is taken."""
+"""Frames survive a round trip, and invalid ones give a coded error."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 
 
 @given(st.lists(st.integers(1, 12), min_size=1, max_size=8), st.integers(1, 9))
-def test_frames_survive_any_cut(kinds: list[int], size: int) -> None:
-    """TCP hands over bytes in pieces of any size."""
+def test_frames_survive_any_split(kinds: list[int], size: int) -> None:
+    """TCP delivers bytes in pieces of any size."""
     sent = [sample(kind) for kind in kinds]
     data = b"".join(map(codec.encode, sent))
     reader = codec.FrameReader()
@@ -53,8 +53,8 @@
     assert reader.rest == b""
 
 
-def test_too_large_frame_is_refused_before_it_is_here() -> None:
-    """A peer announces a frame of four gigabytes and sends it slowly."""
+def test_too_large_frame_is_refused_before_it_arrives() -> None:
+    """A peer announces a frame of 4 GiB, which must not be buffered."""
     reader = codec.FrameReader()
     with pytest.raises(errors.StreamError) as caught:
         list(reader.feed(b"\xff\xff\xff\xff"))
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -1,4 +1,4 @@
-"""A stream whose peer misbehaves ends, and nothing else does."""
+"""An invalid message of a peer ends its stream and affects no other."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def frame(packed: bytes) -> bytes:
-    """Returns packed bytes as a frame."""
+    """Returns packed bytes with their length prefix."""
     return codec.LENGTH.pack(len(packed)) + packed
 
 
 async def dial(
     world: World, *, secret: str = SECRET
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Opens a stream by hand, handshake included."""
+    """Opens a raw stream and completes the dialer's handshake."""
     address = world.places["grades-1"].settings.listen.peers
     reader, writer = await asyncio.open_connection(
         *settings_model.split_address(address)
@@ -43,7 +43,7 @@
     return reader, writer
 
 
-async def rest(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """Reads until the stream ends."""
     async with asyncio.timeout(10):
         return await reader.read()
@@ -72,7 +72,7 @@
         "endless array", "endless frame",
     ],
 )  # fmt: skip
-async def test_bad_frame_ends_that_stream_only(
+async def test_invalid_frame_ends_that_stream_only(
     world: World, bad: bytes
 ) -> None:
     await world.start("grades-1", "grades")
@@ -80,23 +80,23 @@
     await world.settle()
     reader, writer = await dial(world)
     writer.write(bad)
-    await rest(reader)
+    await read_to_end(reader)
     assert (await world.call("permits-1", "/grades/a")).whole
 
 
-async def test_stranger_without_the_secret_gets_nothing(world: World) -> None:
+async def test_peer_without_the_secret_gets_nothing(world: World) -> None:
     await world.start("grades-1", "grades")
     await world.settle()
     reader, writer = await dial(world, secret="another secret, long enough")
     writer.write(codec.encode(messages.Fetch(0)))
-    assert await rest(reader) == b""
+    assert await read_to_end(reader) == b""
     assert world.history("grades") == []
 
 
-async def test_silent_stranger_is_dropped(world: World) -> None:
+async def test_peer_without_handshake_is_disconnected(world: World) -> None:
     await world.start("grades-1", "grades")
     address = world.places["grades-1"].settings.listen.peers
     reader, _ = await asyncio.open_connection(
         *settings_model.split_address(address)
     )
-    await rest(reader)
+    await read_to_end(reader)
--- a/tests/wire/test_handshake.py
+++ b/tests/wire/test_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake lets in who holds the secret and speaks the version."""
+"""The handshake admits peers with the fleet secret and a common version."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert (dialer.peer, acceptor.peer) == ("b", "a")
 
 
-def test_stranger_without_the_secret_gets_nothing() -> None:
+def test_peer_without_the_secret_gets_nothing() -> None:
     dialer, acceptor = pair(other_secret=b"other")
     with pytest.raises(errors.StreamError) as caught:
         shake(dialer, acceptor)
@@ -51,7 +51,7 @@
 
 
 def test_reflected_proof_is_refused() -> None:
-    """A stranger dials and sends the acceptor its own words back."""
+    """A peer without the secret echoes the acceptor's own messages."""
     _, acceptor = pair()
     acceptor.receive(acceptor.hello())
     with pytest.raises(errors.StreamError):
@@ -60,7 +60,7 @@
         )
 
 
-def test_other_versions_are_named() -> None:
+def test_unsupported_versions_are_named() -> None:
     _, acceptor = pair()
     with pytest.raises(errors.StreamError) as caught:
         acceptor.receive(messages.Hello(7, 9, "a", b"n" * 16))
