--- a/src/currantcart/http1/__init__.py
+++ b/src/currantcart/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 towards callers and targets, on aiohttp's parsers and writers.
+"""HTTP/1.1 for callers and targets, on aiohttp's parsers and writers.
 
-`aiohttp.web` and `ClientSession` cost several times what a bare relay costs;
-docs/design/hop-cost.md gives the figures. These modules keep aiohttp's
-C parser, its payload streams and its writer, and leave out the rest.
+`aiohttp.web` and `ClientSession` cost several times as much as a plain relay;
+docs/design/hop-cost.md gives the figures. Of aiohttp, these modules use only
+the C parser, the payload streams and the writer.
 """
--- a/src/currantcart/http1/client.py
+++ b/src/currantcart/http1/client.py
@@ -1,4 +1,4 @@
-"""HTTP client side: leased connections from a node to its own target."""
+"""HTTP client: a pool of connections from a node to its local target."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetAnswer:
-    """A target's answer whose body may still come."""
+    """Head of a target's answer; the body may still be arriving."""
 
     message: http_parser.RawResponseMessage
     body: streams.StreamReader
 
 
 class TargetConnection:
-    """One connection to the target, used by one call at a time.
+    """Connection to the target, used by one call at a time.
 
     Attributes:
-      protocol: aiohttp's client protocol.
-      writer: Writes the present request.
+      protocol: Client protocol of aiohttp.
+      writer: Writer of the current request.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether another call may use it."""
+        """Whether another call may use the connection."""
         return self.protocol.is_connected() and not self.protocol.should_close
 
     async def start(
@@ -78,30 +78,30 @@
             self.writer.send_headers()
 
     async def send(self, chunk: bytes, *, last: bool) -> None:
-        """Sends a part of the body, waiting for a slow target."""
+        """Sends a part of the body; waits while the target reads slowly."""
         if last:
             await self.writer.write_eof(chunk)
         else:
             await self.writer.write(chunk)
 
     async def answer(self) -> TargetAnswer:
-        """Waits for the head of the answer, passing over interim ones."""
+        """Waits for the final answer's head; discards interim answers (1xx)."""
         while True:
             message, body = await self.protocol.read()
             if message.code >= 200:
                 return TargetAnswer(message, body)
 
     def abort(self) -> None:
-        """Cuts the connection."""
+        """Aborts the connection."""
         self.protocol.abort()
 
 
 class TargetPool:
-    """Connections to one target.
+    """Pool of connections to one target.
 
     Attributes:
-      idle: Connections that wait for a call, last used last.
-      leased: Connections that calls use now.
+      idle: Idle connections, the most recently used last.
+      leased: Number of connections in use by calls.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         self.leased = 0
 
     def take_idle(self) -> TargetConnection | None:
-        """Returns an idle connection that still stands."""
+        """Removes and returns an idle connection that is still usable."""
         while self.idle:
             connection = self.idle.pop()
             if connection.usable:
@@ -132,15 +132,16 @@
         """Returns a connection for one call.
 
         Raises:
-          errors.Refusal: The target cannot be reached; nothing was sent.
+          errors.Refusal: The target cannot be reached or all connections are
+            in use; nothing was sent.
         """
         connection = self.take_idle()
         if connection is None:
             if self.leased >= self.connections_max:
-                raise self.unreachable("all its connections are in use")
+                raise self.unreachable("all connections are in use")
             self.leased += 1
             try:
-                # A task of its own: the time limit inside needs one.
+                # `asyncio.timeout` in `connect` must run inside a task.
                 return await self.loop.create_task(self.connect())
             except BaseException:
                 self.leased -= 1
@@ -149,7 +150,11 @@
         return connection
 
     async def connect(self) -> TargetConnection:
-        """Opens a connection."""
+        """Opens a connection.
+
+        Raises:
+          errors.Refusal: The target cannot be reached.
+        """
         try:
             async with asyncio.timeout(CONNECT_SECONDS_MAX):
                 _, protocol = await self.loop.create_connection(
@@ -163,7 +168,7 @@
         return TargetConnection(protocol, self.loop)
 
     def unreachable(self, reason: str) -> errors.Refusal:
-        """Returns the refusal for a target that takes no connection."""
+        """Returns the refusal for a target without a usable connection."""
         return errors.Refusal(
             errors.Code.TARGET_UNREACHABLE,
             errors.Step.CONNECT,
@@ -173,13 +178,13 @@
         )
 
     def release(self, connection: TargetConnection, *, clean: bool) -> None:
-        """Takes a connection back.
+        """Returns a connection to the pool, or aborts it.
 
         Args:
           connection: The leased connection.
-          clean: Whether its call ended with a whole request and a whole
-            answer. Any other is cut: its late answer would otherwise reach
-            the next call, and a guest would read another guest's booking.
+          clean: Whether the call ended with a complete request and a complete
+            answer. Otherwise the connection is aborted, since a late answer
+            would be delivered to the next call, and so to another caller.
         """
         self.leased -= 1
         if clean and connection.usable:
--- a/src/currantcart/http1/headers.py
+++ b/src/currantcart/http1/headers.py
@@ -1,4 +1,4 @@
-"""Header rules: what is read, what is stripped, what is added."""
+"""Names of header fields, and the rules for forwarding them."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
         "expect",
     }
 )
-# Whatever starts so is this system's own: a caller that forges one must not
-# reach a target with it, and a target's copy must not reach a caller.
-OWN_PREFIX = "currantcart-"
+# Fields with this prefix are reserved: one forged by a caller must not reach a
+# target, and one sent by a target must not reach a caller.
+RESERVED_PREFIX = "currantcart-"
 FROM_CALLER_STRIPPED = HOP_BY_HOP | {"authorization", "host", "traceparent"}
 
 
 def connection_tokens(value: str) -> frozenset[str]:
-    """Returns the header names that a `Connection` header makes hop-by-hop."""
+    """Returns the field names that a `Connection` field lists as hop-by-hop."""
     return frozenset(token.strip().lower() for token in value.split(","))
 
 
@@ -46,12 +46,12 @@
     stripped: frozenset[str],
     connection: str,
 ) -> list[list[str]]:
-    """Returns the end-to-end headers.
+    """Returns the end-to-end headers, without the reserved ones.
 
     Args:
       headers: Headers as received.
       stripped: Lower-case names to leave out.
-      connection: Value of the `Connection` header, if any.
+      connection: Value of the `Connection` field; empty without one.
 
     Returns:
       Pairs of name and value.
@@ -61,13 +61,13 @@
     kept: list[list[str]] = []
     for name, value in headers:
         lower = name.lower()
-        if lower not in stripped and not lower.startswith(OWN_PREFIX):
+        if lower not in stripped and not lower.startswith(RESERVED_PREFIX):
             kept.append([name, value])
     return kept
 
 
 def to_multidict(pairs: Iterable[Iterable[str]]) -> CIMultiDict[str]:
-    """Returns pairs as the mapping that aiohttp writes."""
+    """Returns pairs of name and value as a multidict for aiohttp."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in pairs:
         headers.add(name, value)
@@ -75,7 +75,7 @@
 
 
 def bearer_key(value: str | None) -> str | None:
-    """Returns the key of an `Authorization` header, or None."""
+    """Returns the bearer key of an `Authorization` field, or None."""
     if value is None or value[: len(BEARER)].lower() != BEARER:
         return None
     return value[len(BEARER) :].strip() or None
--- a/src/currantcart/http1/pool.py
+++ b/src/currantcart/http1/pool.py
@@ -1,9 +1,9 @@
-"""Connections to a target, and answers that are whole and the right ones.
+"""Connections to a target, with protection against mismatched answers.
 
-A target may cut an answer short, append bytes, answer twice, or answer late
-where the next answer is due. A connection is used again only after a whole
-answer with no byte behind it, and an answer counts only with the id of the
-request that it answers.
+A target may truncate an answer, append bytes, answer twice, or send a late
+answer when the next one is due. A connection is reused only after a complete
+answer with no bytes after it, and an answer is accepted only if it carries the
+id of its request.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -31,14 +31,16 @@
 
 
 class ResponseParser:
-    """Gathers one answer after the other out of bytes.
+    """Parses the answers of one connection.
 
     Attributes:
-      complete: Answers that are whole and were not taken.
-      in_message: Whether an answer has begun and is not whole.
-      keep: Whether the connection may be used after the last answer.
-      bodiless: Whether the request was one whose answer has no body.
-      idle_ms: How long the target keeps an idle connection, as it says.
+      complete: Complete answers that were not delivered yet.
+      in_message: Whether an answer has begun and is incomplete.
+      keep_alive: Whether the connection persists after the last answer.
+      close_delimited: Whether the answer has neither a length nor a transfer
+        coding, so that its body ends with the connection.
+      bodiless: Whether the request's method allows no body in the answer.
+      idle_ms: Idle time-out announced by the target; 0 if unknown.
     """
 
     def __init__(self) -> None:
@@ -46,8 +48,8 @@
         self.complete: list[Response] = []
         self.in_message = False
         self.head_done = False
-        self.unframed = False
-        self.keep = True
+        self.close_delimited = False
+        self.keep_alive = True
         self.bodiless = False
         self.idle_ms = 0.0
         self.headers: list[tuple[bytes, bytes]] = []
@@ -55,57 +57,65 @@
         self.size = 0
 
     def on_message_begin(self) -> None:
-        """Starts an answer."""
+        """Resets the state for the next answer."""
         self.in_message = True
         self.head_done = False
-        self.unframed = False
+        self.close_delimited = False
         self.headers = []
         self.parts = []
         self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header line; a trailer is dropped."""
+        """Stores a header field and discards trailer fields.
+
+        Raises:
+          ValueError: The head is too large.
+        """
         if self.head_done:
             return
         self.size += len(name) + len(value)
         if self.size > HEAD_BYTES_MAX:
-            raise ValueError("the head of the answer is too large")
+            raise ValueError("head of the answer is too large")
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Finds out how the body is framed."""
+        """Determines the framing of the body and the idle time-out."""
         self.head_done = True
         framed = False
         for name, value in self.headers:
-            low = name.lower()
-            if low in (b"content-length", b"transfer-encoding"):
+            lower = name.lower()
+            if lower in (b"content-length", b"transfer-encoding"):
                 framed = True
-            elif low == b"keep-alive":
-                self.idle_ms = parse_idle(value) or self.idle_ms
+            elif lower == b"keep-alive":
+                self.idle_ms = parse_keep_alive_timeout(value) or self.idle_ms
         status = self.parser.get_status_code()
-        self.unframed = not framed and status not in (204, 304)
+        self.close_delimited = not framed and status not in (204, 304)
         self.size = 0
         if self.bodiless:
-            # The parser would wait for a body; the connection ends here.
-            self.in_message = self.keep = False
+            # The parser would wait for a body, so the connection is not reused.
+            self.in_message = self.keep_alive = False
             self.finish()
 
     def on_body(self, chunk: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a part of the body.
+
+        Raises:
+          ValueError: The body is too large.
+        """
         self.size += len(chunk)
         if self.size > ANSWER_BYTES_MAX:
-            raise ValueError("the answer is too large")
+            raise ValueError("body of the answer is too large")
         self.parts.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Ends an answer."""
+        """Completes the current answer."""
         if self.in_message:
             self.in_message = False
-            self.keep = self.parser.should_keep_alive()
+            self.keep_alive = self.parser.should_keep_alive()
             self.finish()
 
     def finish(self) -> None:
-        """Takes the present answer as whole, unless it is an interim one."""
+        """Stores the current answer, unless it is an interim one (1xx)."""
         status = self.parser.get_status_code()
         if status >= 200:
             self.complete.append(
@@ -113,15 +123,15 @@
             )
 
     def end_of_stream(self) -> None:
-        """Ends an answer that has no length and ends with its connection."""
-        if self.in_message and self.unframed:
+        """Completes an answer that is delimited by the connection's end."""
+        if self.in_message and self.close_delimited:
             self.in_message = False
-            self.keep = False
+            self.keep_alive = False
             self.finish()
 
 
-def parse_idle(value: bytes) -> float:
-    """Returns the milliseconds of `timeout=N` in a `Keep-Alive` header."""
+def parse_keep_alive_timeout(value: bytes) -> float:
+    """Returns `timeout` of a `Keep-Alive` field in ms; 0 if there is none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout":
@@ -133,13 +143,17 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a target, used by one request at a time.
+    """Connection to a target, used by one request at a time.
 
     Attributes:
-      on_answer: Takes a whole answer; returns whether it is the right one.
-      on_lost: Takes the end of the connection while an answer is due.
-      idle_since: When it became idle.
-      transport: None once the connection is gone.
+      reader: Parser of the answers.
+      on_answer: Called with a complete answer; returns whether it belongs to
+        the request.
+      on_lost: Called with the reason if the connection ends while an answer
+        is due.
+      idle_since: When the connection became idle.
+      transport: None once the connection is closed.
+      mismatched: Whether an answer without its request was received.
     """
 
     def __init__(self) -> None:
@@ -148,11 +162,11 @@
         self.on_lost: Callable[[str], None] | None = None
         self.idle_since = 0.0
         self.transport: asyncio.Transport | None = None
-        self.suspect = False
+        self.mismatched = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Stores the transport."""
+        # Transports of uvloop aren't subclasses of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
 
     def send(
@@ -161,40 +175,40 @@
         on_answer: Callable[[Response], bool],
         on_lost: Callable[[str], None],
     ) -> None:
-        """Sends a request; exactly one of both functions is called."""
+        """Sends a request; `on_answer` or `on_lost` reports the outcome."""
         self.on_answer, self.on_lost = on_answer, on_lost
         if not stream.write(self.transport, data):
             self.fail("closed")
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrives."""
+        """Parses received bytes; unsolicited bytes abort the connection."""
         if self.on_answer is None:
-            # Bytes that nobody asked for: what follows can't be trusted.
+            # Unsolicited bytes: later answers could not be matched.
             self.abort()
             return
         try:
             self.reader.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.take_answers()
-            self.fail(f"not an answer: {error}")
+            self.deliver_answers()
+            self.fail(f"invalid HTTP answer: {error}")
             return
-        self.take_answers()
+        self.deliver_answers()
 
-    def take_answers(self) -> None:
-        """Hands over the answer that was waited for, passing over others."""
+    def deliver_answers(self) -> None:
+        """Delivers the answer of the current request and discards others."""
         complete, self.reader.complete = self.reader.complete, []
         for response in complete:
             if self.on_answer is None:
-                self.suspect = True
+                self.mismatched = True
                 break
             on_answer, on_lost = self.on_answer, self.on_lost
             self.on_answer = self.on_lost = None
             if not on_answer(response):
-                # The late answer of an earlier request: ours is still due.
-                self.suspect = True
+                # A late answer of an earlier request; the current one is due.
+                self.mismatched = True
                 self.on_answer, self.on_lost = on_answer, on_lost
-                if not self.reader.keep:
-                    self.fail("closed behind another request's answer")
+                if not self.reader.keep_alive:
+                    self.fail("closed after another request's answer")
                     return
 
     @property
@@ -203,53 +217,53 @@
         return (
             self.transport is not None
             and not self.transport.is_closing()
-            and self.reader.keep
+            and self.reader.keep_alive
             and not self.reader.in_message
-            and not self.suspect
+            and not self.mismatched
             and self.transport.get_write_buffer_size() == 0
         )
 
     def eof_received(self) -> bool:
-        """Ends an answer that ends with its connection."""
+        """Completes an answer that is delimited by the connection's end."""
         self.reader.end_of_stream()
-        self.take_answers()
+        self.deliver_answers()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells the request that waits."""
+        """Fails the request that waits for an answer."""
         self.transport = None
         self.fail(str(exc) if exc else "closed without an answer")
 
     def fail(self, reason: str) -> None:
-        """Ends the request that waits, and the connection."""
+        """Fails the request that waits for an answer; aborts the connection."""
         on_lost, self.on_lost, self.on_answer = self.on_lost, None, None
         self.abort()
         if on_lost is not None:
             on_lost(reason)
 
     def abort(self) -> None:
-        """Cuts the connection; a target drops a request it still runs."""
+        """Aborts the connection; the target cancels a request it still runs."""
         self.on_answer = self.on_lost = None
         transport, self.transport = self.transport, None
         if transport is not None:
             transport.abort()
 
 
-IDLE_MS_UNSAID = 4_000.0
-IDLE_SHARE = 0.5
-"""Part of a target's idle time-out after which a connection isn't used again.
+IDLE_MS_DEFAULT = 4_000.0
+IDLE_REUSE_FRACTION = 0.5
+"""Fraction of a target's idle time-out after which a connection isn't reused.
 
-A request that is sent as the target closes may or may not have been read, and
-one that must not repeat is lost then.
+A request that is sent while the target closes the connection may or may not
+have been read. If it must not be retried, it is lost.
 """
 CONNECT_SECONDS_MAX = 1.0
 
 
 class Pool:
-    """Idle connections to one target.
+    """Pool of idle connections to one target.
 
     Attributes:
-      idle: Connections that wait, last used last.
+      idle: Idle connections, the most recently used last.
       dialling: Tasks that open connections.
     """
 
@@ -262,7 +276,7 @@
         self.dialling: set[asyncio.Task[None]] = set()
 
     def take(self, now: float) -> Connection | None:
-        """Returns an idle connection that the target surely keeps."""
+        """Removes and returns a connection well within its idle time-out."""
         while self.idle:
             connection = self.idle.pop()
             if connection.reusable and not is_stale(connection, now):
@@ -275,7 +289,7 @@
         on_open: Callable[[Connection], None],
         on_failed: Callable[[str], None],
     ) -> None:
-        """Opens a connection; exactly one of both functions is called."""
+        """Starts to open a connection; exactly one callback is called."""
         task = self.loop.create_task(self.connect(on_open, on_failed))
         self.dialling.add(task)
         task.add_done_callback(self.dialling.discard)
@@ -285,7 +299,7 @@
         on_open: Callable[[Connection], None],
         on_failed: Callable[[str], None],
     ) -> None:
-        """Opens a connection within its time."""
+        """Opens a connection within the time limit."""
         try:
             async with asyncio.timeout(CONNECT_SECONDS_MAX):
                 _, connection = await self.loop.create_connection(
@@ -297,7 +311,7 @@
             on_open(connection)
 
     def give_back(self, connection: Connection, now: float) -> None:
-        """Takes a connection after its request."""
+        """Returns a connection to the pool; aborts it if not reusable."""
         if connection.reusable:
             connection.idle_since = now
             self.idle.append(connection)
@@ -305,7 +319,7 @@
             connection.abort()
 
     def sweep(self, now: float) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes idle connections that are stale or not reusable."""
         kept = []
         for connection in self.idle:
             if connection.reusable and not is_stale(connection, now):
@@ -322,6 +336,8 @@
 
 
 def is_stale(connection: Connection, now: float) -> bool:
-    """Tells whether the target may be closing an idle connection."""
-    allowed = (connection.reader.idle_ms or IDLE_MS_UNSAID) * IDLE_SHARE
+    """Returns whether the target may be about to close a connection."""
+    allowed = (
+        connection.reader.idle_ms or IDLE_MS_DEFAULT
+    ) * IDLE_REUSE_FRACTION
     return now - connection.idle_since > allowed
--- a/src/currantcart/http1/server.py
+++ b/src/currantcart/http1/server.py
@@ -1,4 +1,4 @@
-"""HTTP server side: one protocol for each caller's connection."""
+"""HTTP server: one protocol instance for each connection of a caller."""
 
 from __future__ import annotations
 
@@ -35,13 +35,14 @@
 
 
 class Exchange:
-    """One request and the way to answer it.
+    """One request and its answer.
 
     Attributes:
       message: Parsed head of the request.
-      body: Its body.
-      started: Whether a head was written.
-      whole_body: The body once it was read whole; None before.
+      body: Body of the request.
+      started: Whether the head of the answer was started.
+      finished: Whether the answer was sent completely.
+      whole_body: The complete body once it was read; None before.
       keep_alive: Whether the connection may serve another request.
     """
 
@@ -64,7 +65,7 @@
         )
 
     def continue_body(self) -> None:
-        """Tells a caller that waits for it to send its body."""
+        """Sends 100 Continue to a caller that expects it."""
         if self.expects_continue and not self.started:
             self.expects_continue = False
             transport = self.connection.transport
@@ -79,7 +80,7 @@
         Args:
           status: HTTP status.
           headers: End-to-end headers of the answer.
-          whole: The body when it is all here; None when it will be streamed.
+          whole: The complete body; None if it will be streamed.
         """
         self.started = True
         bodiless = status in BODILESS or self.message.method == "HEAD"
@@ -93,7 +94,7 @@
             self.writer.enable_chunking()
             headers["Transfer-Encoding"] = "chunked"
         if not self.body.is_eof():
-            # The rest of the request would be read as the next request.
+            # The rest of the body would be parsed as the next request.
             self.keep_alive = False
         if not self.keep_alive:
             headers["Connection"] = "close"
@@ -104,7 +105,7 @@
         await self.writer.write_headers(f"HTTP/1.1 {status} {reason}", headers)
 
     async def write(self, chunk: bytes) -> None:
-        """Sends a part of the body, waiting for a slow caller."""
+        """Sends a part of the body; waits while the caller reads slowly."""
         await self.writer.write(chunk)
 
     async def finish(self, chunk: bytes = b"") -> None:
@@ -115,28 +116,32 @@
     async def respond(
         self, status: int, headers: CIMultiDict[str], body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         await self.start(status, headers, whole=body)
         await self.finish(b"" if self.message.method == "HEAD" else body)
 
     def cancel(self) -> None:
-        """Ends the work on this exchange."""
+        """Cancels the task that handles this exchange."""
         if self.connection.task is not None:
             self.connection.task.cancel()
 
     def abort(self) -> None:
-        """Cuts the connection, so that no one takes a part for a whole."""
+        """Aborts the connection, which marks the answer as incomplete."""
         self.keep_alive = False
         if self.connection.transport is not None:
             self.connection.transport.abort()
 
 
 class ServerConnection(base_protocol.BaseProtocol):
-    """One caller's connection.
+    """Connection of one caller.
 
     Attributes:
       handler: Answers an exchange.
-      task: Runs the present exchange.
+      refuse: Returns the bytes of the answer for a refusal.
+      registry: All open connections.
+      waiting: Pipelined requests that were not started yet.
+      task: Task of the current exchange; None while idle.
+      refused: Refusal of malformed input, until it is sent.
     """
 
     def __init__(
@@ -171,7 +176,7 @@
         self.head_pending = False
         self.refused: errors.Refusal | None = None
         self.lingering = False
-        self.lingered = 0
+        self.lingered_bytes = 0
         self.draining = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -181,21 +186,24 @@
         self.set_timer(HEAD_SECONDS_MAX)
 
     def set_timer(self, seconds: float) -> None:
-        """Bounds how long the caller may stay silent between requests."""
+        """Restarts the time limit for the next request."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_later(seconds, self.timed_out)
+        self.timer = self.loop.call_later(seconds, self.on_timeout)
 
-    def timed_out(self) -> None:
-        """Closes a connection that sends no (whole) request."""
+    def on_timeout(self) -> None:
+        """Closes a connection that sent no complete request head in time."""
         if self.task is None and self.transport is not None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrived."""
+        """Parses received bytes and starts the next exchange."""
         if self.lingering:
-            self.lingered += len(data)
-            if self.lingered > LINGER_BYTES_MAX and self.transport is not None:
+            self.lingered_bytes += len(data)
+            if (
+                self.lingered_bytes > LINGER_BYTES_MAX
+                and self.transport is not None
+            ):
                 self.transport.abort()
             return
         if self.refused is not None:
@@ -220,7 +228,7 @@
     def refuse_malformed(
         self, error: http_exceptions.HttpProcessingError
     ) -> None:
-        """Answers bytes that are no HTTP request, then closes."""
+        """Refuses malformed input, then closes the connection."""
         large = isinstance(error, http_exceptions.LineTooLong)
         code = (
             errors.Code.HEADERS_TOO_LARGE if large else errors.Code.BAD_REQUEST
@@ -233,13 +241,13 @@
             self.send_refused()
 
     def send_refused(self) -> None:
-        """Sends the answer to malformed bytes and lingers."""
+        """Sends the refusal of malformed input and lingers."""
         if self.refused is not None and self.transport is not None:
             self.transport.write(self.refuse(self.refused))
             self.linger()
 
     def start_next(self) -> None:
-        """Runs the next exchange."""
+        """Starts the next exchange."""
         if self.timer is not None:
             self.timer.cancel()
         self.head_pending = False
@@ -248,7 +256,7 @@
         self.task = eager.start(self.loop, self.run(exchange))
 
     async def run(self, exchange: Exchange) -> None:
-        """Answers one exchange and goes on to the next."""
+        """Runs one exchange, then starts the next or ends the connection."""
         try:
             await self.handler(exchange)
         finally:
@@ -270,10 +278,10 @@
             self.set_timer(IDLE_SECONDS_MAX)
 
     def linger(self) -> None:
-        """Reads on for a moment before closing.
+        """Discards input for a limited time before closing (lingering close).
 
         Closing with unread bytes makes the kernel send a reset, and the
-        caller may lose the answer that told it why.
+        caller may lose the answer that gives the reason.
         """
         if self.transport is None:
             return
@@ -288,7 +296,7 @@
         self.loop.call_later(LINGER_SECONDS, self.close)
 
     def drain(self) -> None:
-        """Closes when idle, or after the present exchange."""
+        """Closes the connection when idle or after the current exchange."""
         self.draining = True
         if self.task is None and self.transport is not None:
             self.transport.close()
@@ -299,14 +307,14 @@
             self.transport.close()
 
     def eof_received(self) -> None:
-        """Lets the connection close: a caller that closed has left.
+        """Lets the transport close: a caller that closed its side has left.
 
-        A half-closed connection looks the same as a closed one, and running
-        on for callers that left is what overload feeds on.
+        A half-closed connection can't be told from a closed one, and work for
+        callers that have left sustains an overload.
         """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Cancels the work for a caller that left."""
+        """Cancels the exchange of a caller that disconnected."""
         super().connection_lost(exc)
         self.registry.discard(self)
         if self.timer is not None:
--- a/src/currantcart/http1/status.py
+++ b/src/currantcart/http1/status.py
@@ -1,13 +1,13 @@
-"""Statuses of answers and their lines."""
+"""HTTP status codes and status lines."""
 
 from __future__ import annotations
 
 import http
 
 NO_SUCCESS = 300
-"""The first status that is no success."""
+"""Lowest status above the successful ones (2xx)."""
 SERVER_ERROR = 500
-"""The first status that says that the target failed."""
+"""Lowest status of a server error (5xx): the target failed."""
 REASONS = {status.value: status.phrase for status in http.HTTPStatus}
 STATUS_LINES = {
     status: f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n".encode()
--- a/src/currantcart/http1/transport.py
+++ b/src/currantcart/http1/transport.py
@@ -1,4 +1,4 @@
-"""Writing to a connection that may have ended a moment ago."""
+"""Writing to a connection that may just have been closed."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 def write(transport: asyncio.Transport | None, data: bytes) -> bool:
-    """Writes to a connection; returns whether it still took the bytes.
+    """Writes to a connection; returns whether the transport accepted it.
 
-    uvloop raises on a handle that the peer has just reset, before it says
-    that it is closing and before it tells its protocol. Let through, that
-    error would end the flush of a stream that carries other calls.
+    When the peer has just reset the connection, uvloop raises `RuntimeError`
+    before `is_closing` is true and before `connection_lost` is called. If the
+    error propagated, it would abort the flush of a stream that carries other
+    calls.
     """
     if transport is None or transport.is_closing():
         return False
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a target: which may be used again, which answers count."""
+"""Reuse of connections to a target, and matching of their answers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from currantcart.http1 import pool
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 @dataclasses.dataclass
-class Wire:
-    """A transport that keeps what is written.
+class FakeTransport:
+    """A transport that records what is written.
 
     Attributes:
-      unsent: Bytes that the kernel did not take yet.
+      unsent: Bytes in the write buffer.
     """
 
     written: bytes = b""
@@ -39,15 +39,15 @@
 
 
 @dataclasses.dataclass
-class Line:
-    """A connection with a request on it, and how that has ended."""
+class Client:
+    """A connection with a pending request, and the outcome of the request."""
 
     connection: pool.Connection
-    wire: Wire
+    wire: FakeTransport
     answers: list[pool.Response] = dataclasses.field(default_factory=list)
     lost: list[str] = dataclasses.field(default_factory=list)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         def take(response: pool.Response) -> bool:
             self.answers.append(response)
             return True
@@ -56,83 +56,83 @@
 
 
 @pytest.fixture
-def line() -> Line:
-    connection, wire = pool.Connection(), Wire()
+def client() -> Client:
+    connection, wire = pool.Connection(), FakeTransport()
     connection.connection_made(cast(asyncio.BaseTransport, wire))
-    made = Line(connection, wire)
-    made.ask()
+    made = Client(connection, wire)
+    made.send_request()
     return made
 
 
-def test_a_whole_answer_leaves_a_connection_for_the_next(line: Line) -> None:
-    line.connection.data_received(WHOLE[:20])
-    assert not line.answers
-    line.connection.data_received(WHOLE[20:])
-    assert [answer.body for answer in line.answers] == [b"ok"]
-    assert line.connection.reusable
+def test_complete_answer_leaves_a_reusable_connection(client: Client) -> None:
+    client.connection.data_received(COMPLETE[:20])
+    assert not client.answers
+    client.connection.data_received(COMPLETE[20:])
+    assert [answer.body for answer in client.answers] == [b"ok"]
+    assert client.connection.reusable
 
 
 def test_an_answer_before_the_body_is_sent_ends_the_connection(
-    line: Line,
+    client: Client,
 ) -> None:
-    """A target refuses a long upload before it has read it, and reads on."""
-    line.wire.unsent = 40_000
-    line.connection.data_received(WHOLE)
-    assert line.answers
-    assert not line.connection.reusable
+    """A target answers a long upload before it was sent completely."""
+    client.wire.unsent = 40_000
+    client.connection.data_received(COMPLETE)
+    assert client.answers
+    assert not client.connection.reusable
     made = pool.Pool(
         address=("10.0.0.1", 1), loop=cast(asyncio.AbstractEventLoop, None)
     )
-    made.give_back(line.connection, 0.0)
-    assert line.wire.aborted
+    made.give_back(client.connection, 0.0)
+    assert client.wire.aborted
     assert not made.idle
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        WHOLE + WHOLE,
-        WHOLE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"),
+        COMPLETE + COMPLETE,
+        COMPLETE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"),
         b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
     ],
-    ids=["a second answer", "said to close", "an old protocol"],
+    ids=["second answer", "Connection: close", "old protocol"],
 )
-def test_what_an_answer_leaves_behind_is_not_used_again(
-    line: Line, data: bytes
+def test_connection_is_not_reused_after_such_an_answer(
+    client: Client, data: bytes
 ) -> None:
-    line.connection.data_received(data)
-    assert len(line.answers) == 1
-    assert not line.connection.reusable
+    client.connection.data_received(data)
+    assert len(client.answers) == 1
+    assert not client.connection.reusable
 
 
-def test_bytes_that_nobody_asked_for_end_the_connection(line: Line) -> None:
-    line.connection.data_received(WHOLE)
-    line.connection.data_received(b"HTTP/1.1 200")
-    assert line.wire.aborted
+def test_unsolicited_bytes_end_the_connection(client: Client) -> None:
+    client.connection.data_received(COMPLETE)
+    client.connection.data_received(b"HTTP/1.1 200")
+    assert client.wire.aborted
 
 
-def test_an_interim_answer_is_none(line: Line) -> None:
-    line.connection.data_received(b"HTTP/1.1 100 Continue\r\n\r\n")
-    assert not line.answers
-    line.connection.data_received(WHOLE)
-    assert len(line.answers) == 1
+def test_interim_answer_is_discarded(client: Client) -> None:
+    client.connection.data_received(b"HTTP/1.1 100 Continue\r\n\r\n")
+    assert not client.answers
+    client.connection.data_received(COMPLETE)
+    assert len(client.answers) == 1
 
 
-def test_an_answer_without_length_is_whole_at_the_end_of_the_stream(
-    line: Line,
+def test_answer_without_length_is_complete_at_the_end_of_the_stream(
+    client: Client,
 ) -> None:
-    line.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\npart")
-    assert not line.answers
-    line.connection.eof_received()
-    assert [answer.body for answer in line.answers] == [b"part"]
-    assert not line.lost
+    client.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\npart")
+    assert not client.answers
+    client.connection.eof_received()
+    assert [answer.body for answer in client.answers] == [b"part"]
+    assert not client.lost
 
 
-def test_an_answer_without_length_that_is_reset_is_lost(line: Line) -> None:
-    line.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\npart")
-    line.connection.connection_lost(ConnectionResetError("reset"))
-    assert not line.answers
-    assert line.lost == ["reset"]
+def test_answer_without_length_is_lost_by_a_reset(client: Client) -> None:
+    client.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\npart")
+    client.connection.connection_lost(ConnectionResetError("reset"))
+    assert not client.answers
+    assert client.lost == ["reset"]
 
 
 @pytest.mark.parametrize(
@@ -145,15 +145,15 @@
         ("Keep-Alive: timeout=soon\r\n", 2_100.0, False),
     ],
 )
-def test_an_idle_connection_is_used_well_within_its_time_only(
-    line: Line, header: str, waited_ms: float, *, kept: bool
+def test_idle_connection_is_reused_well_within_its_time_out_only(
+    client: Client, header: str, waited_ms: float, *, kept: bool
 ) -> None:
-    """A request that meets the target's close may or may not have run."""
-    line.connection.data_received(
+    """A request sent while the target closes may or may not have run."""
+    client.connection.data_received(
         f"HTTP/1.1 200 OK\r\n{header}Content-Length: 0\r\n\r\n".encode()
     )
     made = pool.Pool(
         address=("10.0.0.1", 1), loop=cast(asyncio.AbstractEventLoop, None)
     )
-    made.give_back(line.connection, 0.0)
-    assert (made.take(waited_ms) is line.connection) is kept
+    made.give_back(client.connection, 0.0)
+    assert (made.take(waited_ms) is client.connection) is kept
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error and harms no other call."""
+"""Malformed requests get a coded error and affect no other call."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def send_raw(fleet: World, data: bytes) -> tuple[int, dict[str, Any]]:
-    """Sends bytes and returns the status and the body of the answer."""
+    """Sends raw bytes and returns status and body of the answer."""
     address = fleet.places["grades-1"].settings.listen.callers
     host, port = settings_model.split_address(address)
     reader, writer = await asyncio.open_connection(host, port)
@@ -117,7 +117,7 @@
     writer.close()
 
 
-async def test_body_cut_short_never_counts_as_whole(fleet: World) -> None:
+async def test_truncated_body_never_counts_as_complete(fleet: World) -> None:
     """A caller's connection breaks in the middle of an upload."""
     address = fleet.places["grades-1"].settings.listen.callers
     host, port = settings_model.split_address(address)
@@ -137,7 +137,7 @@
 
 
 async def test_caller_that_leaves_cancels_the_work(fleet: World) -> None:
-    """A guest closes the page while the target works on it."""
+    """A caller disconnects while the target works on its request."""
     place = fleet.places["grades-1"]
     place.target.behaviour.work_ms = 5_000
     address = place.settings.listen.callers
@@ -153,7 +153,7 @@
 
 
 async def test_slow_upload_holds_up_no_other_call(fleet: World) -> None:
-    """A maker uploads over a bad line to a target on another node."""
+    """A caller uploads slowly to a target on another node."""
     await fleet.start("permits-1", "permits")
     await fleet.settle()
     chunks = [(0.3, b"x" * 60_000) for _ in range(20)]
@@ -168,7 +168,7 @@
     assert max(e["bytes"] for e in fleet.history("grades")) == 20 * 60_000
 
 
-async def test_large_answer_arrives_whole(fleet: World) -> None:
+async def test_large_answer_arrives_completely(fleet: World) -> None:
     place = fleet.places["grades-1"]
     place.target.behaviour.answer_bytes = 1_000_000
     await fleet.start("permits-1", "permits")
