--- a/src/currantcart/config/__init__.py
+++ b/src/currantcart/config/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's configuration: document, edits, distribution."""
+"""The fleet's configuration: document, edits and local state."""
--- a/src/currantcart/config/changes.py
+++ b/src/currantcart/config/changes.py
@@ -1,4 +1,4 @@
-"""The changes that operators make, as pure functions on the document."""
+"""Operators' changes, as pure functions of the configuration document."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 
 def refuse(detail: str, *, code: errors.Code) -> errors.CurrantcartError:
-    """Returns the error of a change that does not fit the document."""
+    """Returns the error for a change that the document does not allow."""
     return errors.CurrantcartError(code, errors.Step.CONFIG, detail)
 
 
 def require_workspace(
     current: document.Document, name: str
 ) -> document.WorkspaceText:
-    """Returns a workspace, or raises."""
+    """Returns the workspace with the given name.
+
+    Raises:
+      errors.CurrantcartError: The workspace does not exist.
+    """
     if name not in current.workspaces:
         raise refuse(
             f"workspace {name} does not exist", code=errors.Code.NOT_FOUND
@@ -27,7 +31,7 @@
 
 
 def apply_services(text: graph_document.ServicesText) -> edits.Change:
-    """Replaces the services."""
+    """Returns a change that replaces all services."""
 
     def change(current: document.Document) -> edits.Changed:
         del current
@@ -41,12 +45,13 @@
 def create_workspace(
     name: str, workspace: document.WorkspaceText
 ) -> edits.Change:
-    """Adds a workspace."""
+    """Returns a change that adds a workspace."""
 
     def change(current: document.Document) -> edits.Changed:
         if name in current.workspaces:
             raise refuse(
-                f"workspace {name} exists", code=errors.Code.EDIT_CONFLICT
+                f"workspace {name} already exists",
+                code=errors.Code.EDIT_CONFLICT,
             )
         workspaces = {**current.workspaces, name: workspace}
         return edits.Changed(
@@ -63,7 +68,7 @@
     burst: float | None,
     importance: graph_document.ImportanceName | None,
 ) -> edits.Change:
-    """Changes the limits of a workspace; None leaves a value."""
+    """Returns a change of a workspace's limits; None keeps a value."""
 
     def change(current: document.Document) -> edits.Changed:
         values = require_workspace(current, name).model_dump()
@@ -81,7 +86,13 @@
 
 
 def give_key(workspace: str, *, key: str, key_id: str) -> edits.Change:
-    """Gives a key to a workspace."""
+    """Returns a change that adds an API key to a workspace.
+
+    Args:
+      workspace: Name of the workspace.
+      key: The key itself; only its digest is stored.
+      key_id: Public identifier of the key.
+    """
 
     def change(current: document.Document) -> edits.Changed:
         require_workspace(current, workspace)
@@ -97,7 +108,7 @@
 
 
 def withdraw_key(key_id: str) -> edits.Change:
-    """Withdraws a key."""
+    """Returns a change that removes an API key."""
 
     def change(current: document.Document) -> edits.Changed:
         if key_id not in current.keys:
@@ -113,7 +124,11 @@
 def find_undoable(
     current: document.Document, revision: int
 ) -> document.EditRecord:
-    """Returns the record of an edit that can be undone, or raises."""
+    """Returns the history record of an edit that can be undone.
+
+    Raises:
+      errors.CurrantcartError: The edit is unknown, too old or concerns keys.
+    """
     for record in current.history:
         if record.revision == revision and record.before:
             return record
@@ -124,20 +139,24 @@
     )
 
 
-def touched(record: document.EditRecord) -> set[str]:
-    """Returns what an edit changed, by part and name."""
+def changed_parts(record: document.EditRecord) -> set[str]:
+    """Returns the changed parts, as `services` or `workspaces.NAME`."""
     names = record.before.get("workspaces", {})
     parts = {f"workspaces.{name}" for name in names}
     return parts | ({"services"} & record.before.keys())
 
 
 def undo(revision: int) -> edits.Change:
-    """Puts back what an edit replaced, as a new revision."""
+    """Returns a change that restores what an edit replaced.
+
+    The result is a new revision. The change is rejected if a later edit has
+    changed one of the same parts.
+    """
 
     def change(current: document.Document) -> edits.Changed:
         undone = find_undoable(current, revision)
         for later in current.history:
-            common = touched(later) & touched(undone)
+            common = changed_parts(later) & changed_parts(undone)
             if later.revision > revision and common:
                 raise refuse(
                     f"revision {later.revision} by {later.author} changed "
@@ -150,16 +169,21 @@
                 undone.before["services"]
             )
         if "workspaces" in undone.before:
-            parts["workspaces"] = restored(current, undone)
+            parts["workspaces"] = restored_workspaces(current, undone)
         return edits.Changed(parts, f"undo of revision {revision}")
 
     return change
 
 
-def restored(
+def restored_workspaces(
     current: document.Document, undone: document.EditRecord
 ) -> dict[str, document.WorkspaceText]:
-    """Returns the workspaces as they were before an edit."""
+    """Returns the current workspaces with an edit's changes reverted.
+
+    Args:
+      current: Current document.
+      undone: History record of the edit.
+    """
     workspaces = dict(current.workspaces)
     for name, values in undone.before["workspaces"].items():
         if values is None:
--- a/src/currantcart/config/document.py
+++ b/src/currantcart/config/document.py
@@ -1,7 +1,7 @@
-"""The configuration document, as one value of the store.
+"""The configuration document, stored as a single value.
 
-Services, workspaces, keys and the history of edits are one value under one
-compare-and-swap, so all of it has one order: its revision.
+Services, workspaces, keys and the edit history are written together by one
+compare-and-swap, so that all changes have one total order: the revision.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class KeyText(settings_model.StrictModel):
-    """A key in the document; only its digest is kept."""
+    """An API key in the document; only its digest is stored."""
 
     digest: Annotated[
         str, pydantic.StringConstraints(pattern=r"^[0-9a-f]{64}$")
@@ -40,15 +40,16 @@
 
 
 class EditRecord(settings_model.StrictModel):
-    """One accepted change.
+    """One accepted edit.
 
     Attributes:
-      edit_id: Random id by which the author finds it after a lost answer.
-      revision: Revision that it made.
-      author: Who made it.
-      wall_ms: When.
-      summary: One line for people.
-      before: The changed parts as they were, for undoing.
+      edit_id: Random id; finds the edit in the history if the store's answer
+        to the write was lost.
+      revision: Revision that the edit created.
+      author: Operator who made the edit.
+      wall_ms: Wall-clock time of the edit, in milliseconds since 1970.
+      summary: One line for operators.
+      before: Previous values of the changed parts, for undo.
     """
 
     edit_id: str
@@ -60,14 +61,14 @@
 
 
 class Document(settings_model.StrictModel):
-    """The whole configuration.
+    """The complete configuration.
 
     Attributes:
       revision: 1 for the first document; each accepted edit adds one.
-      services: The services text's content.
-      workspaces: By name.
-      keys: By key id.
-      history: Latest edits, oldest first.
+      services: Content of the services text.
+      workspaces: Workspaces by name.
+      keys: API keys by key id.
+      history: Most recent edits, oldest first.
     """
 
     revision: int = 0
@@ -80,27 +81,28 @@
 
 
 def encode(document: Document) -> bytes:
-    """Returns the bytes that are stored and spread.
+    """Returns the bytes that are stored and sent to peers.
 
     Raises:
-      errors.CurrantcartError: It is larger than the store takes.
+      errors.CurrantcartError: The document exceeds the size limit of a
+        stored value.
     """
     text = document.model_dump_json(exclude_defaults=True).encode()
     if len(text) > DOCUMENT_BYTES_MAX:
         raise errors.CurrantcartError(
             errors.Code.EDIT_INVALID,
             errors.Step.CONFIG,
-            f"the configuration has {len(text)} bytes, "
+            f"configuration: found {len(text)} bytes, "
             f"allowed: {DOCUMENT_BYTES_MAX}",
         )
     return text
 
 
 def decode(text: bytes) -> Document:
-    """Reads stored or spread bytes.
+    """Decodes a document that was stored or sent by a peer.
 
     Raises:
-      errors.SettingsError: They are no valid document.
+      errors.SettingsError: The bytes are not a valid document.
     """
     code = errors.Code.EDIT_INVALID
     try:
@@ -110,5 +112,7 @@
             f"configuration: {error}", code=code
         ) from error
     if not isinstance(values, dict):
-        raise errors.SettingsError("configuration: no object", code=code)
+        raise errors.SettingsError(
+            "configuration: not a JSON object", code=code
+        )
     return jsonc.validate(Document, values, source="configuration", code=code)
--- a/src/currantcart/config/edits.py
+++ b/src/currantcart/config/edits.py
@@ -1,4 +1,4 @@
-"""Edits of the configuration: pure changes and their acceptance."""
+"""Edits of the configuration document by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changed:
-    """A changed document.
+    """Result of a change.
 
     Attributes:
-      parts: Top-level parts with their new values.
-      summary: One line for people.
+      parts: Changed top-level fields of the document, with new values.
+      summary: One line for operators.
     """
 
     parts: dict[str, Any]
@@ -32,14 +32,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """An edit that is known to have succeeded."""
+    """An edit that is known to have been stored."""
 
     revision: int
     summary: str
 
 
 def conflict(detail: str) -> errors.CurrantcartError:
-    """Returns the error of an edit that lost a race."""
+    """Returns the error for an edit that conflicts with another one."""
     return errors.CurrantcartError(
         errors.Code.EDIT_CONFLICT, errors.Step.CONFIG, detail
     )
@@ -48,22 +48,22 @@
 def previous_parts(
     current: document.Document, changed: Changed
 ) -> dict[str, Any]:
-    """Returns what an edit replaces, for undoing it.
+    """Returns the values that an edit replaces, for undo.
 
-    Keys are left out: a withdrawn key is never given again.
+    Keys are left out, so that an undo never restores a withdrawn key.
     """
     before: dict[str, Any] = {}
     if "services" in changed.parts:
         before["services"] = current.services.model_dump(
             mode="json", exclude_defaults=True
         )
-    fresh = changed.parts.get("workspaces")
-    if fresh is not None:
+    new = changed.parts.get("workspaces")
+    if new is not None:
         old = current.workspaces
         before["workspaces"] = {
             name: old[name].model_dump(mode="json") if name in old else None
-            for name in {*old, *fresh}
-            if old.get(name) != fresh.get(name)
+            for name in {*old, *new}
+            if old.get(name) != new.get(name)
         }
     return before
 
@@ -76,7 +76,7 @@
     edit_id: str,
     wall_ms: float,
 ) -> document.Document:
-    """Returns the document that an edit makes of the current one."""
+    """Returns the document after an edit, with a record in its history."""
     record = document.EditRecord(
         edit_id=edit_id,
         revision=current.revision + 1,
@@ -86,7 +86,8 @@
         before=previous_parts(current, changed),
     )
     history = [*current.history, record][-document.HISTORY_MAX :]
-    # What old edits replaced would fill the value of the store in time.
+    # Old values of all edits would eventually exceed the size limit of a
+    # stored value, so only the latest edits can be undone.
     history = [
         old.model_copy(update={"before": {}}) for old in history[:-UNDO_MAX]
     ] + history[-UNDO_MAX:]
@@ -100,7 +101,7 @@
 
 
 class Editor:
-    """Makes edits through the store."""
+    """Applies edits to the stored document."""
 
     def __init__(
         self, *, store: port.Store, clock: clock_module.Clock, author: str
@@ -110,7 +111,7 @@
         self.author = author
 
     async def read(self) -> tuple[document.Document, int]:
-        """Returns the stored document and its index in the store."""
+        """Returns the stored document and its store index."""
         entry = await self.store.get(document.STORE_KEY)
         if entry.index == 0:
             return document.Document(), 0
@@ -119,17 +120,17 @@
     async def apply(
         self, change: Change, *, base_revision: int | None = None
     ) -> Accepted:
-        """Makes one edit.
+        """Applies one edit; retries after a lost race or a lost answer.
 
         Args:
-          change: Makes the changed parts of the current document; raises
-            when the edit does not fit it.
-          base_revision: Revision that the author saw; None lets the edit go
-            on top of whatever is there.
+          change: Returns the changed parts for the current document;
+            raises if the document does not allow the edit.
+          base_revision: Revision that the author saw; None applies the edit
+            to any revision.
 
         Raises:
-          errors.CurrantcartError: The edit does not fit, lost a race, or the
-            store is out.
+          errors.CurrantcartError: The document does not allow the edit, it
+            conflicts with other edits, or the store is unavailable.
         """
         edit_id = secrets.token_hex(8)
         for _ in range(ATTEMPTS_MAX):
@@ -140,7 +141,7 @@
             if base_revision not in (None, current.revision):
                 raise conflict(describe_since(current, base_revision or 0))
             changed = change(current)
-            fresh = next_document(
+            updated = next_document(
                 current,
                 changed,
                 author=self.author,
@@ -149,23 +150,24 @@
             )
             try:
                 swapped = await self.store.compare_and_swap(
-                    document.STORE_KEY, document.encode(fresh), index=index
+                    document.STORE_KEY, document.encode(updated), index=index
                 )
             except port.StoreOutcomeUnknown:
-                # The write may have taken effect: read back by edit id
-                # before saying either, so nothing is applied twice.
+                # The write may have taken effect. The next attempt looks for
+                # the edit id in the stored document first, so that the edit
+                # is not applied twice.
                 continue
             if swapped:
-                return Accepted(fresh.revision, changed.summary)
+                return Accepted(updated.revision, changed.summary)
         current, _ = await self.read()
         accepted = find_edit(current, edit_id)
         if accepted is not None:
             return accepted
-        raise conflict(f"no turn came in {ATTEMPTS_MAX} attempts")
+        raise conflict(f"edit was not stored in {ATTEMPTS_MAX} attempts")
 
 
 def find_edit(current: document.Document, edit_id: str) -> Accepted | None:
-    """Returns an edit of the document's history."""
+    """Returns the edit with an id from the history; None if not there."""
     for record in current.history:
         if record.edit_id == edit_id:
             return Accepted(record.revision, record.summary)
@@ -173,7 +175,7 @@
 
 
 def describe_since(current: document.Document, revision: int) -> str:
-    """Tells the author what changed after a revision."""
+    """Returns a message that lists the edits after a revision."""
     lines = [
         f"revision {record.revision} by {record.author}: {record.summary}"
         for record in current.history
--- a/src/currantcart/config/view.py
+++ b/src/currantcart/config/view.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one node."""
+"""The configuration that one node applies."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """A document, prepared for decisions.
+    """A configuration document in the form that decisions use.
 
     Attributes:
-      revision: Its revision.
-      graph: Services.
-      workspaces: By name.
-      keys_by_digest: Keys as callers show them.
-      key_ids: Keys that are in force.
-      text: The document's bytes, for peers that ask.
+      revision: Revision of the document.
+      graph: Service graph.
+      workspaces: Workspaces by name.
+      keys_by_digest: API keys by the digest of the key that a caller sends.
+      key_ids: Ids of the valid keys.
+      text: Encoded document, for peers that fetch it.
     """
 
     revision: int
@@ -33,7 +33,14 @@
 
 
 def build(parsed: document.Document, text: bytes) -> View:
-    """Prepares a document."""
+    """Builds the view of a document.
+
+    Keys of workspaces that do not exist are left out.
+
+    Args:
+      parsed: Decoded document.
+      text: Its encoded bytes.
+    """
     workspaces = {
         name: workspace_model.Workspace(
             name=name,
@@ -61,10 +68,10 @@
 
 
 class ConfigState:
-    """The highest revision that this node has seen; it never goes back.
+    """The highest revision that this node has received; never decreases.
 
     Attributes:
-      view: What is in force; None until a first document arrives.
+      view: Current configuration; None until the first document arrives.
     """
 
     def __init__(self) -> None:
@@ -72,20 +79,23 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force; 0 without one."""
+        """Current revision; 0 without a configuration."""
         return self.view.revision if self.view else 0
 
     def offer(self, text: bytes) -> bool:
-        """Takes a document from the store or a peer.
+        """Applies a document if it is newer than the current one.
+
+        A stale peer, a restarted store or a late message may deliver an older
+        document. Applying it would make a withdrawn key valid again.
 
-        A stale peer, a restarted store or a late message may bring an older
-        one; taking it would bring a withdrawn key back to life.
+        Args:
+          text: Encoded document from the store or a peer.
 
         Returns:
-          Whether it is now in force.
+          Whether the document was applied.
 
         Raises:
-          errors.SettingsError: It does not validate.
+          errors.SettingsError: The document is not valid.
         """
         parsed = document.decode(text)
         if parsed.revision <= self.revision:
@@ -94,16 +104,16 @@
         return True
 
     def require(self) -> View:
-        """Returns what is in force.
+        """Returns the current configuration.
 
         Raises:
-          errors.Refusal: There is nothing yet.
+          errors.Refusal: The node has no configuration yet.
         """
         if self.view is None:
             raise errors.Refusal(
                 errors.Code.NOT_READY,
                 errors.Step.CONFIG,
-                "this node has no configuration yet",
+                "node has no configuration yet",
                 not_run=True,
                 retry_after_ms=1_000.0,
             )
--- a/tests/config/test_edits.py
+++ b/tests/config/test_edits.py
@@ -1,4 +1,4 @@
-"""Edits of the configuration, with races and lost answers."""
+"""Tests of configuration edits, with races and lost store answers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def test_lost_answer_is_read_back_and_not_applied_twice() -> None:
-    """The store writes and its answer is lost."""
+    """The store applies the write, but its answer is lost."""
     store = MemoryStore()
     store.lose_answers = 1
     made = await editor(store).apply(changes.create_workspace("mill", LIMITS))
@@ -45,7 +45,7 @@
     assert (await stored(store)).revision == 1
 
 
-async def test_racing_edits_both_count() -> None:
+async def test_concurrent_edits_are_all_applied() -> None:
     store = MemoryStore()
     await asyncio.gather(
         *(
@@ -58,8 +58,8 @@
     assert current.revision == 3
 
 
-async def test_edit_of_an_old_revision_is_told_what_changed() -> None:
-    """Two operators edit the same text; the later would undo the earlier."""
+async def test_conflict_of_an_old_revision_lists_later_edits() -> None:
+    """Two operators edit one revision; the second would revert the first."""
     store = MemoryStore()
     await editor(store).apply(changes.create_workspace("mill", LIMITS))
     with pytest.raises(errors.CurrantcartError) as caught:
@@ -70,7 +70,7 @@
     assert "revision 1 by ann: workspace mill: created" in caught.value.detail
 
 
-async def test_store_that_is_down_accepts_nothing() -> None:
+async def test_unavailable_store_rejects_edits() -> None:
     store = MemoryStore()
     store.down = True
     with pytest.raises(port.StoreUnavailable):
@@ -85,7 +85,7 @@
         changes.set_workspace("none", rate=1, burst=None, importance=None),
     ],
 )
-async def test_edit_of_what_is_not_there_is_refused(
+async def test_edit_of_a_missing_entry_is_rejected(
     change: edits.Change,
 ) -> None:
     with pytest.raises(errors.CurrantcartError) as caught:
@@ -103,8 +103,8 @@
     assert b"cck_secret" not in entry.value
 
 
-async def test_older_document_never_comes_into_force() -> None:
-    """A node that was cut off, or a restored store, brings an old revision."""
+async def test_older_document_is_never_applied() -> None:
+    """A node after a partition, or a restored store, sends an old revision."""
     state = view.ConfigState()
     for revision, expected in ((5, True), (4, False), (5, False), (6, True)):
         text = document.encode(document.Document(revision=revision))
@@ -112,7 +112,7 @@
     assert state.revision == 6
 
 
-def test_broken_document_is_refused_and_the_last_one_stays() -> None:
+def test_invalid_document_is_rejected_and_the_current_one_kept() -> None:
     state = view.ConfigState()
     state.offer(document.encode(document.Document(revision=1)))
     for text in (b"", b"[]", b'{"revision": "x"}', b"\xff"):
@@ -121,7 +121,7 @@
     assert state.revision == 1
 
 
-async def test_change_is_undone_as_a_new_revision() -> None:
+async def test_undo_creates_a_new_revision() -> None:
     store = MemoryStore()
     await editor(store).apply(changes.create_workspace("mill", LIMITS))
     await editor(store).apply(
@@ -134,8 +134,8 @@
     assert (await stored(store)).workspaces["mill"].rate == 99
 
 
-async def test_undo_of_what_changed_since_is_a_conflict() -> None:
-    """An operator undoes a change that another one has built upon."""
+async def test_undo_of_a_part_changed_since_is_a_conflict() -> None:
+    """An operator undoes an edit whose workspace was edited again since."""
     store = MemoryStore()
     await editor(store).apply(changes.create_workspace("mill", LIMITS))
     change = changes.set_workspace("mill", rate=9, burst=None, importance=None)
@@ -144,8 +144,8 @@
         await editor(store).apply(changes.undo(1))
 
 
-async def test_withdrawn_key_is_never_given_again() -> None:
-    """Undoing a withdrawal would bring back a key that leaked."""
+async def test_undo_never_restores_a_withdrawn_key() -> None:
+    """Undoing a withdrawal would make a leaked key valid again."""
     store = MemoryStore()
     await editor(store).apply(changes.create_workspace("mill", LIMITS))
     await editor(store).apply(changes.give_key("mill", key="k", key_id="i"))
@@ -154,8 +154,8 @@
         await editor(store).apply(changes.undo(3))
 
 
-async def test_history_never_outgrows_the_store() -> None:
-    """Large services texts are applied for months."""
+async def test_history_stays_within_the_document_size_limit() -> None:
+    """Large services texts are applied many times over months."""
     store = MemoryStore()
     text = graph_document.ServicesText.model_validate(
         {"services": {f"s{n}": {"patience_ms": 5 + n} for n in range(300)}}
