--- a/src/currantcart/store/__init__.py
+++ b/src/currantcart/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service: port and adapter."""
+"""The platform's key-value store: ports and adapters."""
--- a/src/currantcart/store/counted.py
+++ b/src/currantcart/store/counted.py
@@ -1,4 +1,4 @@
-"""A leased store whose calls are counted by kind and result."""
+"""Wrapper of a leased store that counts calls by kind and result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CountedStore:
-    """Counts each call to another store, those that fail included."""
+    """Forwards calls to a store and counts them, failed ones included."""
 
     def __init__(
         self, store: leased.LeasedStore, counted: counts.Counts
@@ -22,7 +22,12 @@
         self.counts = counted
 
     async def count(self, call: str, work: Awaitable[Answer]) -> Answer:
-        """Makes a call and counts it with its result."""
+        """Awaits a call and counts it with its result.
+
+        Args:
+          call: Kind of call, a label value of the metric.
+          work: The call.
+        """
         result = "cancelled"
         try:
             answer = await work
@@ -39,14 +44,14 @@
         return await self.count("read", self.store.get(key))
 
     async def list(self, prefix: str, *, stale: bool) -> list[leased.Item]:
-        """Reads all keys of a prefix."""
+        """Reads all keys with a prefix."""
         call = "list_stale" if stale else "list"
         return await self.count(call, self.store.list(prefix, stale=stale))
 
     async def watch(
         self, prefix: str, *, after: int, wait_ms: float
     ) -> leased.Changes:
-        """Waits until something below a prefix changes."""
+        """Waits until a key with a prefix changes."""
         return await self.count(
             "watch", self.store.watch(prefix, after=after, wait_ms=wait_ms)
         )
@@ -54,7 +59,7 @@
     async def put(
         self, key: str, value: bytes, *, lease: int, expected: int
     ) -> leased.PutAnswer:
-        """Writes a key under a lease if it still has a revision."""
+        """Writes a key under a lease if its revision is as expected."""
         return await self.count(
             "write",
             self.store.put(key, value, lease=lease, expected=expected),
@@ -69,5 +74,5 @@
         return await self.count("renew", self.store.keep(lease))
 
     async def end(self, lease: int) -> None:
-        """Ends a lease."""
+        """Revokes a lease."""
         await self.count("end", self.store.end(lease))
--- a/src/currantcart/store/http.py
+++ b/src/currantcart/store/http.py
@@ -1,8 +1,9 @@
 """Adapter for a store with the key-value HTTP interface of Consul.
 
-Published at developer.hashicorp.com/consul/api-docs/kv and .../session: reads
-with `index` and `wait` block until a change, writes with `cas` compare, and
-sessions with the delete behaviour are the leases.
+The interface is documented at developer.hashicorp.com/consul/api-docs/kv and
+.../session. Reads with `index` and `wait` block until a change, writes with
+`cas` are compare-and-swap, and sessions with the delete behaviour serve as
+leases.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 
 
 class HttpStore:
-    """The port over HTTP.
+    """A store that is reached over HTTP.
 
     Attributes:
-      address: Host and port of the service.
+      address: Host and port of the store.
     """
 
     def __init__(self, address: str) -> None:
@@ -35,15 +36,18 @@
         self.session: aiohttp.ClientSession | None = None
 
     def open_session(self) -> aiohttp.ClientSession:
-        """Returns the session, made on first use inside the loop."""
+        """Returns the HTTP client session; creates it on first use.
+
+        It has to be created inside the event loop.
+        """
         if self.session is None:
             self.session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=CONNECTIONS_MAX)
             )
-            # When a connection breaks, aiohttp sends a PUT again by itself.
-            # If the first one took effect, the second compares with what the
-            # first wrote: a swap that succeeded would be reported as a lost
-            # race. The library's own test client turns it off the same way.
+            # When a connection breaks, aiohttp retries a PUT on its own. If
+            # the first PUT took effect, the second one compares with the new
+            # value, and a successful swap is reported as a lost race.
+            # aiohttp's test client disables retries in the same way.
             self.session._retry_connection = False
         return self.session
 
@@ -55,10 +59,10 @@
     async def read(
         self, path: str, params: dict[str, str], *, seconds: float
     ) -> bytes | None:
-        """Gets a path, in a task of its own.
+        """Sends a GET in a separate task.
 
-        aiohttp's time limits work only inside a task, and a call's first
-        part runs outside of one.
+        aiohttp's timeouts work only inside a task, and the eagerly started
+        part of a call runs outside of one.
         """
         loop = asyncio.get_running_loop()
         return await loop.create_task(
@@ -68,14 +72,14 @@
     async def write(
         self, path: str, params: dict[str, str], body: bytes
     ) -> bytes | None:
-        """Puts a path, in a task of its own."""
+        """Sends a PUT in a separate task, for the same reason as `read`."""
         loop = asyncio.get_running_loop()
         return await loop.create_task(self.write_now(path, params, body))
 
     async def read_now(
         self, path: str, params: dict[str, str], *, seconds: float
     ) -> bytes | None:
-        """Gets a path; None when the store says that there is nothing."""
+        """Sends a GET; returns the body, or None for status 404."""
         try:
             async with self.open_session().get(
                 f"http://{self.address}{path}",
@@ -93,7 +97,12 @@
     async def write_now(
         self, path: str, params: dict[str, str], body: bytes
     ) -> bytes | None:
-        """Puts a path; None when the store says that there is nothing."""
+        """Sends a PUT; returns the body, or None for status 404.
+
+        Raises:
+          port.StoreUnavailable: Nothing was written.
+          port.StoreOutcomeUnknown: The answer was lost.
+        """
         try:
             async with self.open_session().put(
                 f"http://{self.address}{path}",
@@ -107,38 +116,43 @@
                 self.check_status(response.status)
                 return answer
         except aiohttp.ClientConnectorError as error:
-            # No connection came about, so not a byte was sent.
+            # The connection was not established, so nothing was sent.
             raise self.unavailable(error) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise port.StoreOutcomeUnknown(
-                f"the answer was lost: {error or type(error).__name__}",
+                f"answer to a write was lost: {error or type(error).__name__}",
                 peer=self.address,
             ) from error
 
     def check_status(self, status: int) -> None:
-        """Raises for an answer that is a fault of the store."""
+        """Raises if a status is an error.
+
+        Raises:
+          port.StoreUnavailable: The status is 400 or more.
+        """
         if status >= 400:
             raise port.StoreUnavailable(
-                f"the store answered {status}", peer=self.address
+                f"store answered with status {status}", peer=self.address
             )
 
     def unavailable(self, error: BaseException) -> port.StoreUnavailable:
-        """Returns the error for a store that cannot be reached."""
+        """Returns the error for a store that did not answer."""
         return port.StoreUnavailable(
-            f"no answer: {error or type(error).__name__}", peer=self.address
+            f"store did not answer: {error or type(error).__name__}",
+            peer=self.address,
         )
 
     def parse(self, body: bytes) -> Any:
-        """Parses the store's JSON."""
+        """Parses the JSON body of an answer."""
         try:
             return json.loads(body)
         except ValueError as error:
             raise port.StoreUnavailable(
-                "the store's answer is no JSON", peer=self.address
+                "store's answer is not JSON", peer=self.address
             ) from error
 
     def entry(self, body: bytes | None) -> port.Entry:
-        """Reads the entry of a key."""
+        """Parses the entry in an answer; `MISSING` without a body."""
         if body is None:
             return port.MISSING
         try:
@@ -150,7 +164,7 @@
             )
         except (LookupError, TypeError, ValueError) as error:
             raise port.StoreUnavailable(
-                "the store's answer has no entry", peer=self.address
+                "store's answer has no valid entry", peer=self.address
             ) from error
 
     async def get(self, key: str) -> port.Entry:
@@ -162,14 +176,14 @@
     async def compare_and_swap(
         self, key: str, value: bytes, *, index: int
     ) -> bool:
-        """Writes a key if it still has an index."""
+        """Writes a key if its index is as given."""
         answer = await self.write(f"/v1/kv/{key}", {"cas": str(index)}, value)
         return answer is not None and self.parse(answer) is True
 
     async def watch(
         self, key: str, *, index: int, wait_ms: float
     ) -> port.Entry:
-        """Waits for a change after an index."""
+        """Waits for a change after an index, and reads the key."""
         params = {"index": str(index), "wait": f"{int(wait_ms)}ms"}
         seconds = wait_ms / 1_000 + WATCH_SLACK_SECONDS
         return self.entry(
@@ -177,7 +191,7 @@
         )
 
     async def grant_lease(self, *, ttl_ms: float) -> str:
-        """Creates a session."""
+        """Creates a session and returns its id."""
         request = {
             "TTL": f"{int(ttl_ms)}ms",
             "Behavior": "delete",
@@ -187,16 +201,18 @@
             "/v1/session/create", {}, json.dumps(request).encode()
         )
         if answer is None:
-            raise port.StoreUnavailable("no sessions", peer=self.address)
+            raise port.StoreUnavailable(
+                "store offers no sessions (status 404)", peer=self.address
+            )
         return str(self.parse(answer)["ID"])
 
     async def keep_alive(self, lease: str) -> bool:
-        """Renews a session."""
+        """Renews a session; False if it has expired."""
         answer = await self.write(f"/v1/session/renew/{lease}", {}, b"")
         return answer is not None
 
     async def acquire(self, key: str, value: bytes, *, lease: str) -> bool:
-        """Writes a key under a session."""
+        """Writes a key under a session unless another session holds it."""
         answer = await self.write(f"/v1/kv/{key}", {"acquire": lease}, value)
         return answer is not None and self.parse(answer) is True
 
--- a/src/currantcart/store/leased.py
+++ b/src/currantcart/store/leased.py
@@ -1,7 +1,7 @@
-"""The port to a store with leases, transactions and cheap stale reads.
+"""Port to a store with leases, transactions and cheap stale reads.
 
-Callers have to expect `StoreUnavailable` (nothing was done) and
-`StoreOutcomeUnknown` (a write may have been done, or may be done later).
+Callers have to handle `StoreUnavailable` (a write had no effect) and
+`StoreOutcomeUnknown` (a write may have taken effect, or may do so later).
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
     """A stored value.
 
     Attributes:
-      key: Its key.
-      value: Its bytes.
-      revision: The store's revision as it was written.
-      as_of: The store's revision as it was read; 0 where that wasn't told.
-      lease: Lease that holds it; 0 without one.
+      key: Key of the value.
+      value: Stored bytes.
+      revision: Revision of the store at the last write of the key.
+      as_of: Revision of the store at the time of the read; 0 if the store
+        did not report it.
+      lease: Lease that holds the key; 0 without one.
     """
 
     key: str
@@ -33,7 +34,7 @@
 
 
 class PutOutcome(enum.Enum):
-    """What became of a write under a condition."""
+    """Outcome of a conditional write."""
 
     WRITTEN = "written"
     CHANGED = "changed"
@@ -42,12 +43,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutAnswer:
-    """The store's answer to a write under a condition.
+    """The store's answer to a conditional write.
 
     Attributes:
-      outcome: What became of it.
-      revision: The key's revision now; 0 when it does not exist.
-      present: What the key holds instead, where it has changed.
+      outcome: Outcome of the write.
+      revision: Revision of the key after the call; 0 if it does not exist.
+      present: Current item of the key if the condition failed; None if the
+        key does not exist.
     """
 
     outcome: PutOutcome
@@ -57,11 +59,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What a watch has told.
+    """Result of a watch.
 
     Attributes:
-      any: Whether something has changed.
-      as_of: The revision to go on from.
+      any: Whether a key has changed.
+      as_of: Revision from which the next watch continues.
     """
 
     any: bool
@@ -69,7 +71,7 @@
 
 
 class HistoryLost(errors.CurrantcartError):
-    """The store no longer knows what has changed since a revision."""
+    """The store no longer has the changes since a revision."""
 
     def __init__(self, detail: str, *, peer: str) -> None:
         super().__init__(
@@ -81,48 +83,48 @@
 
 
 class LeasedStore(Protocol):
-    """What a node needs of the store."""
+    """Operations on the store that a node needs."""
 
     async def get(self, key: str) -> Item | None:
-        """Reads a key; the answer is the newest."""
+        """Reads the latest value of a key; None if it does not exist."""
 
     async def list(self, prefix: str, *, stale: bool) -> list[Item]:
-        """Reads all keys of a prefix.
+        """Reads all keys with a prefix.
 
         Args:
-          prefix: Start of the keys.
-          stale: Whether an answer that is seconds old will do.
+          prefix: Prefix of the keys.
+          stale: Whether the answer may be several seconds out of date.
         """
 
     async def watch(
         self, prefix: str, *, after: int, wait_ms: float
     ) -> Changes:
-        """Waits until something below a prefix changes, or for `wait_ms`.
+        """Waits until a key with a prefix changes, at most `wait_ms`.
 
         Raises:
-          HistoryLost: What has changed since `after` is no longer known.
+          HistoryLost: The store no longer has the changes since `after`.
         """
 
     async def put(
         self, key: str, value: bytes, *, lease: int, expected: int
     ) -> PutAnswer:
-        """Writes a key under a lease if it still has a revision.
+        """Writes a key under a lease if its revision is as expected.
 
-        A write without an answer may be done seconds later. Under a condition
-        it does nothing then, once a later write has been done.
+        A write without an answer may take effect seconds later. Because of
+        the condition it has no effect once a later write has succeeded.
 
         Args:
           key: The key.
-          value: Its new bytes.
-          lease: Lease that holds it.
-          expected: Its present revision; 0 means it must not exist.
+          value: New bytes.
+          lease: Lease that is to hold the key.
+          expected: Current revision of the key; 0 means it must not exist.
         """
 
     async def grant(self, *, ttl_ms: float) -> int:
-        """Creates a lease."""
+        """Creates a lease and returns its id."""
 
     async def keep(self, lease: int) -> bool:
-        """Renews a lease; False when it has ended."""
+        """Renews a lease; False if it has expired."""
 
     async def end(self, lease: int) -> None:
-        """Ends a lease; its keys go with it."""
+        """Revokes a lease and deletes its keys."""
--- a/src/currantcart/store/port.py
+++ b/src/currantcart/store/port.py
@@ -1,9 +1,9 @@
-"""The port through which the rest uses the platform's store.
+"""Port to a key-value store with compare-and-swap and leases.
 
-Every caller has to expect four things: `StoreOutcomeUnknown` after a write
-(it may have taken effect), `StoreUnavailable` (it certainly did not, or it
-was a read), a watch that returns no change or a much later one, and a value
-whose index is lower than one seen before (a store restored from a copy).
+Every caller has to handle four cases: `StoreOutcomeUnknown` after a write (it
+may have taken effect), `StoreUnavailable` (a write had no effect, or a read
+failed), a watch that returns without a change or after several changes, and a
+value whose index is lower than before (the store was restored from a backup).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class StoreUnavailable(errors.CurrantcartError):
-    """The store gave no answer, and nothing was written."""
+    """The store could not serve a call, and nothing was written."""
 
     def __init__(self, detail: str, *, peer: str) -> None:
         super().__init__(
@@ -40,8 +40,8 @@
     """A stored value.
 
     Attributes:
-      value: The bytes.
-      index: Grows with each write of the key; 0 when the key does not exist.
+      value: Stored bytes.
+      index: Increases with each write of the key; 0 if it does not exist.
       lease: Lease that holds the key; empty without one.
     """
 
@@ -54,15 +54,15 @@
 
 
 class Store(Protocol):
-    """What the platform's service offers."""
+    """Operations that the store offers."""
 
     async def get(self, key: str) -> Entry:
-        """Reads a key; `MISSING` when there is none."""
+        """Reads a key; `MISSING` if it does not exist."""
 
     async def compare_and_swap(
         self, key: str, value: bytes, *, index: int
     ) -> bool:
-        """Writes a key if it still has an index; 0 means it must not exist."""
+        """Writes a key if its index is as given; 0 means it must not exist."""
 
     async def watch(self, key: str, *, index: int, wait_ms: float) -> Entry:
         """Waits for a change after an index, and reads the key."""
@@ -71,10 +71,10 @@
         """Creates a lease and returns its id."""
 
     async def keep_alive(self, lease: str) -> bool:
-        """Renews a lease; False when it has lapsed."""
+        """Renews a lease; False if it has expired."""
 
     async def acquire(self, key: str, value: bytes, *, lease: str) -> bool:
         """Writes a key under a lease unless another lease holds it."""
 
     async def release(self, lease: str) -> None:
-        """Ends a lease; its keys go with it."""
+        """Revokes a lease and deletes its keys."""
--- a/tests/store/test_counted.py
+++ b/tests/store/test_counted.py
@@ -1,4 +1,4 @@
-"""Which calls to the store are counted, and with which result."""
+"""Tests that calls to the store are counted by kind and result."""
 
 from __future__ import annotations
 
@@ -10,9 +10,12 @@
 
 
 async def test_each_call_is_counted_by_kind_and_result() -> None:
-    """One write of an entry takes up to four calls and counted as one."""
-    inner, own = leased.FakeLeasedStore(), counts.Counts()
-    store = counted.CountedStore(inner, own)
+    """Guards against counting operations instead of calls.
+
+    Writing one entry takes up to four calls, which must not count as one.
+    """
+    inner, call_counts = leased.FakeLeasedStore(), counts.Counts()
+    store = counted.CountedStore(inner, call_counts)
     lease = await store.grant(ttl_ms=1_000.0)
     await store.put("nodes/a", b"x", lease=lease, expected=0)
     await store.keep(lease)
@@ -22,7 +25,7 @@
     inner.refusing = True
     with pytest.raises(port.StoreUnavailable):
         await store.list("nodes/", stale=True)
-    made = own.counters["store_calls"]
+    made = call_counts.counters["store_calls"]
     assert made["list_stale", "store_unavailable"] == 1
     calls = ("grant", "write", "renew", "read", "list_stale", "list")
     assert {call: made[call, "done"] for call in calls} == dict.fromkeys(
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -1,4 +1,4 @@
-"""The store adapter against the stand-in, over real sockets on loopback."""
+"""Tests of the HTTP adapter against a stand-in, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run(work: Work) -> None:
-    """Runs work with an adapter and a stand-in on a real loop."""
+    """Runs work with an adapter and a stand-in on a real event loop."""
 
     async def main() -> None:
         standin = store_standin.StoreStandIn()
@@ -27,8 +27,8 @@
         await runner.setup()
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
-        number = runner.addresses[0][1]
-        store = store_http.HttpStore(f"127.0.0.1:{number}")
+        port_number = runner.addresses[0][1]
+        store = store_http.HttpStore(f"127.0.0.1:{port_number}")
         try:
             await work(store, standin)
         finally:
@@ -39,7 +39,7 @@
         runner.run(main())
 
 
-def test_compare_and_swap_lets_one_win() -> None:
+def test_only_one_of_two_equal_swaps_succeeds() -> None:
     async def work(store: port.Store, _: object) -> None:
         assert await store.get("a") == port.MISSING
         assert await store.compare_and_swap("a", b"1", index=0)
@@ -51,7 +51,7 @@
     run(work)
 
 
-def test_watch_wakes_on_a_change() -> None:
+def test_watch_returns_on_a_change() -> None:
     async def work(store: port.Store, _: object) -> None:
         waiting = asyncio.create_task(store.watch("a", index=0, wait_ms=20_000))
         await store.compare_and_swap("a", b"1", index=0)
@@ -76,7 +76,7 @@
     run(work)
 
 
-def test_store_that_is_not_there_wrote_nothing() -> None:
+def test_unreachable_store_wrote_nothing() -> None:
     async def work(_: object, standin: object) -> None:
         del standin
         store = store_http.HttpStore("127.0.0.1:1")
@@ -88,7 +88,7 @@
 
 
 def test_lost_answer_is_an_unknown_outcome() -> None:
-    """The write takes effect and the connection breaks before the answer."""
+    """The write takes effect, but the connection breaks before the answer."""
 
     async def work(
         store: port.Store, standin: store_standin.StoreStandIn
@@ -101,7 +101,7 @@
     run(work)
 
 
-def test_lapsed_lease_takes_its_keys_along() -> None:
+def test_expired_lease_deletes_its_keys() -> None:
     async def work(
         store: port.Store, standin: store_standin.StoreStandIn
     ) -> None:
@@ -118,8 +118,12 @@
     run(work)
 
 
-def test_calls_work_where_no_task_runs() -> None:
-    """A once-only call claims its operation in its eagerly started part."""
+def test_calls_work_outside_a_task() -> None:
+    """Guards against aiohttp timeouts that fail outside a task.
+
+    A call that must run at most once claims its operation in the eagerly
+    started part, where no task is current.
+    """
 
     async def work(store: port.Store, _: object) -> None:
         done: list[bool] = []
