--- a/src/currantcart/catalog/model.py
+++ b/src/currantcart/catalog/model.py
@@ -1,7 +1,7 @@
 """One configuration version as an immutable aggregate.
 
-A node swaps the whole aggregate at once, so that a request sees the routes,
-keys and limits of one version and never a mixture of two.
+A node replaces the complete aggregate at once, so that a request uses the
+routes, keys and limits of one version and never a mixture of two.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests below a path prefix of a host go.
+    """Routing rule for requests to a host whose path has a prefix.
 
     Attributes:
-      name: Name given by the operator.
+      name: Name that the operator has given the route.
       host: Lower-case host without port.
       prefix: Path prefix that begins and ends with a slash.
-      parts: Services with their weights; one part without a split.
-      idempotent: Whether a request may run more than once.
-      timeout_ms: Longest time that a caller is kept waiting.
-      objective_ms: Latency within which an answer has its full worth.
-      priority: Rank, 0 is the most urgent.
-      attempts_max: Most targets to which one request may be handed.
-      keyless: Whether requests need no workspace's key.
+      parts: Services with their weights; a single part if traffic is not
+        split.
+      idempotent: Whether targets may execute a request more than once.
+      timeout_ms: Maximum time until a request is answered.
+      objective_ms: Latency objective; later answers have less than full value.
+      priority: Priority; 0 is the most urgent.
+      attempts_max: Maximum number of targets to which one request may be sent.
+      keyless: Whether requests are accepted without a workspace's key.
     """
 
     name: str
@@ -49,7 +50,7 @@
     keyless: bool
 
     def pick_service(self, rng: random.Random) -> str:
-        """Draws a service in proportion to the weights."""
+        """Returns a random service, in proportion to the weights."""
         parts = self.parts
         if len(parts) == 1:
             return parts[0].service
@@ -63,7 +64,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service and what its targets bear."""
+    """A service and the limits of its targets.
+
+    Attributes:
+      name: Name of the service.
+      connections_max: Maximum number of connections that a target accepts.
+    """
 
     name: str
     connections_max: int
@@ -71,14 +77,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A workspace with its keys and its rate.
+    """A workspace with its keys and rate limit.
 
     Attributes:
-      name: Name, as targets are told it.
-      keys: Keys that show a request to be of this workspace.
-      priority: Rank that goes before the route's; None leaves the route's.
-      rate_per_second: Requests a second over all nodes; 0 means no limit.
-      burst: Requests beyond the rate that may come at once.
+      name: Name, as sent to targets.
+      keys: API keys that identify requests of this workspace.
+      priority: Priority that replaces the route's; None keeps the route's.
+      rate_per_second: Requests per second over all nodes; 0 means no limit.
+      burst: Requests beyond the rate that may arrive at once.
     """
 
     name: str
@@ -90,7 +96,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size and duration of callers' requests.
+
+    Attributes:
+      header_bytes: Maximum size of a request's head.
+      body_bytes: Maximum size of a request's body.
+      header_ms: Maximum time until a request's head is complete.
+      idle_ms: Maximum time that a caller's connection may be idle.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
@@ -99,15 +112,17 @@
 
 
 class Catalog:
-    """All that one configuration version says.
+    """Contents of one configuration version.
 
     Attributes:
-      version: Its version; grows in uneven steps.
-      routes: Routes by host and prefix.
+      version: Version number; increases, not always by one.
+      routes: Routes by host, then by prefix.
       services: Services by name.
       workspaces: Workspaces by key.
-      limits: What callers may send.
-      unread: Names of fields that this program does not know.
+      by_name: Workspaces by name.
+      keyed: Whether requests need the key of a workspace.
+      limits: Limits on callers' requests.
+      unread: Names of fields in the document that are not supported.
     """
 
     def __init__(
@@ -135,7 +150,7 @@
         self.limits = limits
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins a path.
+        """Returns the route with the longest prefix of a path.
 
         Args:
           host: Lower-case host without port.
@@ -144,8 +159,8 @@
         prefixes = self.routes.get(host)
         if prefixes is None:
             return None
-        # Prefixes end with a slash, so only the path's own slashes can end
-        # one: this looks up each of them, the last first.
+        # Prefixes end with a slash, so a matching prefix ends at one of the
+        # path's slashes. These are tried from the last to the first.
         end = path.rfind("/")
         while end >= 0:
             route = prefixes.get(path[: end + 1])
@@ -155,7 +170,7 @@
         return None
 
     def rates(self) -> dict[str, tuple[float, float]]:
-        """Returns rate and burst of each workspace that has a limit."""
+        """Returns rate and burst of each workspace with a rate limit."""
         return {
             workspace.name: (workspace.rate_per_second, workspace.burst)
             for workspace in self.by_name.values()
--- a/tests/catalog/__init__.py
+++ b/tests/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the catalog package."""
--- a/tests/catalog/test_model.py
+++ b/tests/catalog/test_model.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and splits by weight."""
+"""Tests of routing by host and longest prefix, and of traffic splits."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     assert (found.name if found else None) == name
 
 
-def test_another_host_has_other_routes() -> None:
+def test_routes_match_only_their_host() -> None:
     assert CATALOG.match("other.example", "/a/") is None
 
 
@@ -66,7 +66,7 @@
     assert 850 <= drawn["y"] <= 1_150
 
 
-def test_a_part_without_weight_gets_nothing() -> None:
+def test_a_part_with_weight_zero_gets_no_requests() -> None:
     split = route("s", "/s/", model.Part("x", 0.0), model.Part("y", 1.0))
     rng = random.Random(1)
     assert {split.pick_service(rng) for _ in range(1_000)} == {"y"}
