--- a/src/currantcart/graph/__init__.py
+++ b/src/currantcart/graph/__init__.py
@@ -1,1 +1,1 @@
-"""The service graph: services, dependencies, importance and patience."""
+"""The service graph: services, dependencies, importance and call time-outs."""
--- a/src/currantcart/graph/document.py
+++ b/src/currantcart/graph/document.py
@@ -1,4 +1,4 @@
-"""The operators' services text: validated model, checks, and conversion."""
+"""The operators' services text: model, validation and conversion."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SpanText(settings_model.StrictModel):
-    """Patience for a part of the day."""
+    """Call time-out for a part of the day."""
 
     start: TimeOfDay
     end: TimeOfDay
@@ -31,7 +31,7 @@
 
 
 class RouteText(settings_model.StrictModel):
-    """A route with an importance of its own."""
+    """A route with its own importance."""
 
     method: str = "*"
     path: str = pydantic.Field(default="/", pattern=r"^/")
@@ -41,14 +41,14 @@
 
     @pydantic.model_validator(mode="after")
     def check_once(self) -> RouteText:
-        """Refuses a route that both may and may not repeat."""
+        """Rejects a route that is both idempotent and once."""
         if self.once and self.idempotent:
             raise ValueError("either idempotent or once")
         return self
 
 
 class ServiceText(settings_model.StrictModel):
-    """One service of the text."""
+    """One service in the text."""
 
     depends_on: list[settings_model.Name] = []
     importance: ImportanceName = "normal"
@@ -62,7 +62,7 @@
 
 
 class ServicesText(settings_model.StrictModel):
-    """The whole services text."""
+    """The complete services text."""
 
     utc_offset: Annotated[
         str, pydantic.StringConstraints(pattern=OFFSET_PATTERN)
@@ -71,7 +71,7 @@
 
 
 def importance_of(name: str) -> model.Importance:
-    """Returns the importance of a validated name."""
+    """Returns the importance for a validated name."""
     return model.Importance[name.upper()]
 
 
@@ -88,7 +88,7 @@
 
 
 def call_order(text: ServicesText) -> list[str]:
-    """Returns the names so that each stands after all that it depends on.
+    """Returns the service names, each one after all that it depends on.
 
     Raises:
       graphlib.CycleError: The dependencies form a cycle.
@@ -101,11 +101,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chain:
-    """The longest chain that starts at a service.
+    """The longest call chain that starts at a service.
 
     Attributes:
-      levels: Services on it, the first included.
-      typical_ms: Largest sum of typical times along any chain.
+      levels: Number of services in the chain, including the first.
+      typical_ms: Largest sum of typical times over all chains from the
+        service, in milliseconds.
     """
 
     levels: int
@@ -113,21 +114,27 @@
 
 
 def longest_chains(text: ServicesText, order: list[str]) -> dict[str, Chain]:
-    """Returns the longest chain from each service, given its call order."""
+    """Returns the longest chain from each service.
+
+    Args:
+      text: Services text without cycles.
+      order: Result of `call_order`.
+    """
     chains: dict[str, Chain] = {}
     for name in order:
         service = text.services[name]
-        below = [chains[callee] for callee in service.depends_on]
+        callee_chains = [chains[callee] for callee in service.depends_on]
         chains[name] = Chain(
-            levels=1 + max((chain.levels for chain in below), default=0),
+            levels=1
+            + max((chain.levels for chain in callee_chains), default=0),
             typical_ms=service.typical_ms
-            + max((chain.typical_ms for chain in below), default=0.0),
+            + max((chain.typical_ms for chain in callee_chains), default=0.0),
         )
     return chains
 
 
 def top_importance(service: ServiceText) -> model.Importance:
-    """Returns the highest importance that a root call to it may have."""
+    """Returns the highest importance of a root call to a service."""
     names = [
         service.importance,
         *(route.importance for route in service.routes),
@@ -136,7 +143,13 @@
 
 
 def check_service(text: ServicesText, name: str, chain: Chain) -> list[str]:
-    """Returns the faults of one service in an acyclic text."""
+    """Returns the errors of one service.
+
+    Args:
+      text: Services text without cycles.
+      name: Name of the service.
+      chain: Longest chain from the service.
+    """
     faults: list[str] = []
     service = text.services[name]
     if chain.levels > model.DEPTH_MAX:
@@ -163,7 +176,7 @@
 
 
 def check(text: ServicesText) -> list[str]:
-    """Returns all faults of a text that one model alone cannot show."""
+    """Returns all errors that concern several fields or services."""
     faults = [
         f"services.{name}.depends_on: found unknown {dependency!r}"
         for name, service in text.services.items()
@@ -188,7 +201,7 @@
 
 
 def build_service(name: str, text: ServiceText) -> model.Service:
-    """Converts one validated service."""
+    """Converts one validated service to the model."""
     default = model.Route(
         method="*",
         path="/",
@@ -225,7 +238,7 @@
 
 
 def build_graph(text: ServicesText) -> model.Graph:
-    """Converts a validated and checked text."""
+    """Converts a validated and checked text to the model."""
     return model.Graph(
         services={
             name: build_service(name, service)
@@ -239,7 +252,8 @@
     """Parses, validates and checks a services text.
 
     Raises:
-      errors.SettingsError: The text has a fault; all are named.
+      errors.SettingsError: The text is not valid; the message lists all
+        errors that `check` finds.
     """
     code = errors.Code.SERVICES_INVALID
     values = jsonc.parse_text(text, source=source, code=code)
--- a/src/currantcart/graph/model.py
+++ b/src/currantcart/graph/model.py
@@ -1,4 +1,4 @@
-"""The service graph as the decisions see it."""
+"""The service graph: services, routes, priorities and call time-outs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Importance(enum.IntEnum):
-    """How late a call is shed; the higher, the later."""
+    """Importance of a call; the higher, the later it is shed."""
 
     SHEDDABLE = 0
     NORMAL = 1
@@ -25,16 +25,17 @@
 def priority(
     importance: Importance, workspace_importance: Importance, *, depth: int
 ) -> int:
-    """Returns the order in which calls are kept under overload.
+    """Returns the priority of a call for load shedding.
 
-    The importance of the route decides first, so that no workspace's browsing
-    outlasts a payment. The workspace's importance comes next. A call inside
-    a chain beats a new root call, since work was already spent on it.
+    The importance of the route decides first, so that browsing is shed before
+    payments, whatever the workspace. The workspace's importance comes next. A
+    call inside a chain has priority over a new root call, since work has
+    already been done for it.
 
     Args:
       importance: Importance of the root call's route.
       workspace_importance: Importance of the workspace.
-      depth: 0 for a root call.
+      depth: Depth of the call in its chain; 0 for a root call.
 
     Returns:
       A number from 0 to 31; the higher, the later it is shed.
@@ -49,13 +50,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PatienceSpan:
-    """Patience that holds for a part of the day.
+    """Call time-out that applies during a part of the day.
 
     Attributes:
       start_minute: First minute of the local day, 0 to 1439.
-      end_minute: First minute after the span; below `start_minute` when the
-        span runs over midnight.
-      patience_ms: How long callers wait in that span.
+      end_minute: First minute after the span; below `start_minute` if the
+        span includes midnight.
+      patience_ms: How long callers wait for an answer during the span.
     """
 
     start_minute: int
@@ -63,7 +64,7 @@
     patience_ms: float
 
     def covers(self, minute: int) -> bool:
-        """Tells whether a minute of the day lies in the span."""
+        """Returns whether a minute of the day lies in the span."""
         if self.start_minute <= self.end_minute:
             return self.start_minute <= minute < self.end_minute
         return minute >= self.start_minute or minute < self.end_minute
@@ -71,14 +72,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A part of a service with an importance of its own.
+    """A part of a service with its own importance.
 
     Attributes:
-      method: HTTP method, or `*` for all.
-      path: Prefix of the path inside the service.
-      importance: Importance of a root call to it.
-      idempotent: Whether it may run more than once.
-      once: Whether calls need an idempotency key and run at most once for it.
+      method: HTTP method, or `*` for any.
+      path: Prefix of the request path.
+      importance: Importance of a root call to the route.
+      idempotent: Whether a call may be executed more than once.
+      once: Whether calls need an idempotency key and are executed at most once
+        per key.
     """
 
     method: str
@@ -88,7 +90,7 @@
     once: bool = False
 
     def matches(self, method: str, path: str) -> bool:
-        """Tells whether a request belongs to the route."""
+        """Returns whether a request matches the route."""
         return self.method in ("*", method) and path.startswith(self.path)
 
 
@@ -97,13 +99,13 @@
     """One service.
 
     Attributes:
-      name: Its name.
+      name: Name of the service.
       depends_on: Services that its targets may call.
-      routes: Routes in the order of their match; the last one matches all.
-      patience_ms: How long callers wait when no span covers the time.
-      spans: Patience by time of day.
+      routes: Routes in matching order; the last one matches every request.
+      patience_ms: How long callers wait for an answer outside of all spans.
+      spans: Call time-outs by time of day.
       retries: Retry allowance of a root call to the service.
-      max_importance: Cap on the importance of calls to it.
+      max_importance: Upper limit on the importance of calls to the service.
     """
 
     name: str
@@ -122,7 +124,12 @@
         return self.routes[-1]
 
     def patience_at(self, wall_ms: float, *, utc_offset_minutes: int) -> float:
-        """Returns the patience of callers at a time of day, in ms."""
+        """Returns how long callers wait at a time of day, in milliseconds.
+
+        Args:
+          wall_ms: Wall-clock time, in milliseconds since 1970.
+          utc_offset_minutes: Offset of the local time of day from UTC.
+        """
         if not self.spans:
             return self.patience_ms
         local_ms = wall_ms + utc_offset_minutes * clock.MS_PER_MINUTE
@@ -138,7 +145,7 @@
     """All services of the fleet.
 
     Attributes:
-      services: By name.
+      services: Services by name.
       utc_offset_minutes: Offset of the local time of day from UTC.
     """
 
--- a/tests/graph/test_document.py
+++ b/tests/graph/test_document.py
@@ -1,4 +1,4 @@
-"""The services text: what is refused, and how it says so."""
+"""Tests of the services text: validation, messages and conversion."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 def chain(length: int) -> str:
-    """Returns services that depend on each other in a line."""
+    """Returns a text whose services form one chain of dependencies."""
     names = [f"s{number}" for number in range(length)]
     services: dict[str, dict[str, list[str]]] = {
-        name: {"depends_on": [below]}
-        for name, below in itertools.pairwise(names)
+        name: {"depends_on": [callee]}
+        for name, callee in itertools.pairwise(names)
     }
     services[names[-1]] = {}
     return json.dumps({"services": services})
@@ -63,27 +63,27 @@
         (chain(5_000), "levels, allowed: 14"),
     ],
 )  # fmt: skip
-def test_fault_is_named(text: str, message: str) -> None:
+def test_error_names_the_field(text: str, message: str) -> None:
     with pytest.raises(errors.SettingsError) as caught:
         document.parse(text, source="file")
     assert message in caught.value.detail
     assert caught.value.code is errors.Code.SERVICES_INVALID
 
 
-def test_fourteen_levels_are_taken() -> None:
+def test_chain_of_fourteen_levels_is_accepted() -> None:
     assert len(document.parse(chain(14), source="file").services) == 14
 
 
 @given(st.text(max_size=80))
-def test_any_text_gives_a_coded_error(text: str) -> None:
+def test_any_invalid_text_gives_a_coded_error(text: str) -> None:
     try:
         document.parse(text, source="file")
     except errors.SettingsError as error:
         assert error.code is errors.Code.SERVICES_INVALID
 
 
-def test_patience_follows_the_local_time_of_day() -> None:
-    """Evening in Dar es Salaam is afternoon in UTC."""
+def test_patience_depends_on_the_local_time_of_day() -> None:
+    """Guards against spans in UTC; 19:00 in Dar es Salaam is 16:00 UTC."""
     text = document.parse(BENCH_TEXT.read_text(), source="file")
     graph = document.build_graph(text)
     permits = graph.services["permits"]
@@ -96,7 +96,7 @@
     assert [at(2), at(12), at(16)] == [8_000, 4_000, 2_000]
 
 
-def test_span_over_midnight() -> None:
+def test_span_may_include_midnight() -> None:
     span = model.PatienceSpan(22 * 60, 2 * 60, 1.0)
     assert [span.covers(h * 60) for h in (21, 23, 1, 2)] == [
         False, True, True, False,
