--- a/src/currantcart/catalog/model.py
+++ b/src/currantcart/catalog/model.py
@@ -102,7 +102,8 @@
       header_bytes: Maximum size of a request's head.
       body_bytes: Maximum size of a request's body.
       header_ms: Maximum time until a request's head is complete.
-      idle_ms: Maximum time that a caller's connection may be idle.
+      idle_ms: Maximum time without activity on a caller's connection, also
+        within a request's body.
     """
 
     header_bytes: int = 16_384
