--- a/src/currantcart/settings/__init__.py
+++ b/src/currantcart/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one process: JSON with comments, validated."""
+"""Settings of a node: JSON with comments, validated on load."""
--- a/src/currantcart/settings/jsonc.py
+++ b/src/currantcart/settings/jsonc.py
@@ -1,7 +1,7 @@
-"""Reading of JSON with comments into validated models.
+"""Parsing of JSON with comments into validated models.
 
-An error names the line (for syntax) or the path (for a field), what was found
-and what is allowed, since operators mend such texts under pressure.
+An error message names the line (syntax) or the path of the field, what was
+found and what is allowed, since operators correct such files under pressure.
 """
 
 from __future__ import annotations
@@ -21,7 +21,11 @@
 
 
 def reject_duplicate_names(pairs: Iterable[tuple[str, Any]]) -> dict[str, Any]:
-    """Builds one JSON object, refusing a name that stands twice in it."""
+    """Builds a JSON object.
+
+    Raises:
+      ValueError: A name occurs twice.
+    """
     built: dict[str, Any] = {}
     for name, value in pairs:
         if name in built:
@@ -31,18 +35,18 @@
 
 
 def parse_text(text: str, *, source: str, code: errors.Code) -> dict[str, Any]:
-    """Parses JSON with comments.
+    """Parses a JSON object with comments.
 
     Args:
-      text: The text.
-      source: File name for error messages.
+      text: JSON with comments.
+      source: File name in error messages.
       code: Code of the error to raise.
 
     Returns:
       The top-level object.
 
     Raises:
-      errors.SettingsError: The text is no JSON object.
+      errors.SettingsError: The text is not a JSON object.
     """
     try:
         parsed = json5.loads(text, object_pairs_hook=reject_duplicate_names)
@@ -58,15 +62,15 @@
 
 
 def describe(error: pydantic.ValidationError) -> str:
-    """Renders the first validation fault as path, found and allowed."""
-    fault = error.errors(include_url=False)[0]
-    path = ".".join(str(part) for part in fault["loc"]) or "top level"
-    if fault["type"] == "missing":
+    """Returns the first validation error as `path: found X, allowed: Y`."""
+    first = error.errors(include_url=False)[0]
+    path = ".".join(str(part) for part in first["loc"]) or "top level"
+    if first["type"] == "missing":
         return f"{path}: found nothing, allowed: a value (it is required)"
-    if fault["type"] == "extra_forbidden":
+    if first["type"] == "extra_forbidden":
         return f"{path}: found an unknown field, allowed: the documented ones"
-    found = json.dumps(fault["input"], default=str)[:FOUND_TEXT_MAX]
-    allowed = fault["msg"].removeprefix("Value error, ")
+    found = json.dumps(first["input"], default=str)[:FOUND_TEXT_MAX]
+    allowed = first["msg"].removeprefix("Value error, ")
     return f"{path}: found {found}, allowed: {allowed}"
 
 
@@ -79,8 +83,14 @@
 ) -> Model:
     """Validates parsed values against a model.
 
+    Args:
+      model: The model.
+      values: Parsed values.
+      source: File name in error messages.
+      code: Code of the error to raise.
+
     Raises:
-      errors.SettingsError: A field is unknown, missing or bad.
+      errors.SettingsError: A field is unknown, missing or invalid.
     """
     try:
         return model.model_validate(values)
@@ -93,7 +103,11 @@
 
 
 def read_file(path: pathlib.Path, *, code: errors.Code) -> str:
-    """Reads a text file, turning a missing file into a coded error."""
+    """Reads a text file.
+
+    Raises:
+      errors.SettingsError: The file cannot be read or is not UTF-8.
+    """
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/currantcart/settings/model.py
+++ b/src/currantcart/settings/model.py
@@ -18,20 +18,24 @@
 
 
 class StrictModel(pydantic.BaseModel):
-    """A model that refuses fields it does not know."""
+    """Immutable model that rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
 def check_address(value: str) -> str:
-    """Checks that a text is `IP:PORT`."""
+    """Returns an address of the form `IP:PORT` unchanged.
+
+    Raises:
+      ValueError: The value is not of that form; says what is allowed.
+    """
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
+        port_number = int(port)
     except ValueError:
         raise ValueError("an IP number and a port, as 127.0.0.1:8080") from None
-    if not 0 < number < 65536:
+    if not 0 < port_number < 65536:
         raise ValueError("a port from 1 to 65535")
     return value
 
@@ -40,7 +44,7 @@
 
 
 def split_address(value: str) -> tuple[str, int]:
-    """Splits a checked address into host and port."""
+    """Splits a validated address into host and port."""
     host, _, port = value.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -49,9 +53,9 @@
     """Addresses on which the node listens.
 
     Attributes:
-      callers: HTTP for callers and for the target's own calls.
-      peers: TCP streams and UDP gossip of the other nodes.
-      admin: HTTP for metrics and status.
+      callers: HTTP requests of callers and of the local target.
+      peers: TCP streams and UDP gossip of other nodes.
+      admin: HTTP interface for metrics and status.
     """
 
     callers: Address
@@ -60,14 +64,15 @@
 
 
 class Target(StrictModel):
-    """The target beside the node.
+    """The local target.
 
     Attributes:
       service: Service that the target serves.
-      address: Where the target listens.
-      slots: Calls that the target says it runs at once.
-      connections: Most connections that the target takes.
-      ramp_ms: Time over which a started target gets its full share.
+      address: Address on which the target listens.
+      slots: Calls that the target is declared to run concurrently.
+      connections: Maximum number of connections that the target accepts.
+      ramp_ms: Time after a start over which the target's share of calls rises
+        to its full value.
     """
 
     service: Name
@@ -78,7 +83,14 @@
 
 
 class Tls(StrictModel):
-    """Files for mutual TLS between nodes, in PEM."""
+    """Files for mutual TLS between nodes, in PEM.
+
+    Attributes:
+      certificate: Certificate of the node.
+      key: Private key of the certificate.
+      authority: Certificate of the authority that signs the nodes'
+        certificates.
+    """
 
     certificate: pathlib.Path
     key: pathlib.Path
@@ -86,7 +98,7 @@
 
 
 class TraceExporter(enum.StrEnum):
-    """Where finished spans go."""
+    """Destination of finished spans."""
 
     NONE = "none"
     LOG = "log"
@@ -94,13 +106,13 @@
 
 
 class Trace(StrictModel):
-    """Tracing.
+    """Settings of tracing.
 
     Attributes:
-      exporter: Where spans go.
-      endpoint: OTLP over HTTP, such as http://127.0.0.1:4318/v1/traces.
-      ratio: Share of root calls that are sampled when the caller has not
-        decided by its `traceparent`.
+      exporter: Destination of finished spans.
+      endpoint: URL of the OTLP endpoint over HTTP, such as http://127.0.0.1:4318/v1/traces.
+      ratio: Fraction of root calls that are sampled if the caller's
+        `traceparent` does not decide.
     """
 
     exporter: TraceExporter = TraceExporter.NONE
@@ -109,7 +121,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """Least level that is logged."""
+    """Minimum level of log lines."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -122,22 +134,22 @@
 
     Attributes:
       instance: Name of this instance, unique in the fleet.
-      failure_domain: Failure domain it runs in.
+      failure_domain: Failure domain of this instance.
       region: Region of the failure domain.
-      listen: Own addresses.
-      target: The target beside it.
+      listen: Addresses on which the node listens.
+      target: The local target.
       fleet_secret_file: File with the secret that all nodes share.
       fleet_secret: The secret itself, for trials.
-      store: Address of the platform's key-value service.
-      seeds: Peer addresses to join through.
-      fleet_instances: Most nodes that ever run at once; the divisor of each
-        workspace's rate and burst.
-      drain_ms: Longest graceful shutdown.
+      store: Address of the platform's key-value store.
+      seeds: Addresses of peers through which the node joins the fleet.
+      fleet_instances: Maximum number of nodes that ever run at once; each
+        workspace's rate and burst are divided by it.
+      drain_ms: Maximum duration of a graceful shutdown, in milliseconds.
       overload_control: False turns the node into a plain proxy with naive
-        retries; only for baselines.
-      tls: Mutual TLS between nodes; none means plain TCP.
-      trace: Tracing.
-      log_level: Least level that is logged.
+        retries; for baseline measurements only.
+      tls: Mutual TLS between nodes; plain TCP if absent.
+      trace: Settings of tracing.
+      log_level: Minimum level of log lines.
     """
 
     instance: Name
@@ -158,7 +170,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_secret(self) -> Settings:
-        """Requires exactly one source of the fleet secret."""
+        """Rejects settings without exactly one source of the fleet secret."""
         if (self.fleet_secret is None) == (self.fleet_secret_file is None):
             raise ValueError("one of fleet_secret_file and fleet_secret")
         return self
@@ -188,7 +200,7 @@
     """Reads and validates a settings file.
 
     Raises:
-      errors.SettingsError: The file is missing or does not validate.
+      errors.SettingsError: The file cannot be read or is not valid.
     """
     code = errors.Code.SETTINGS_INVALID
     values = jsonc.parse_text(
--- a/tests/settings/test_model.py
+++ b/tests/settings/test_model.py
@@ -1,4 +1,4 @@
-"""The settings file: JSON with comments, checked."""
+"""Tests of the settings file: JSON with comments and validation."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return path
 
 
-def test_comments_are_taken(tmp_path: pathlib.Path) -> None:
+def test_comments_are_accepted(tmp_path: pathlib.Path) -> None:
     path = write(tmp_path, f"// the first node\n{json.dumps(GOOD)}")
     settings = model.load(path)
     assert settings.instance == "permits-1"
@@ -52,7 +52,7 @@
         ({"target": {"service": "a"}}, "target.address: found nothing"),
     ],
 )
-def test_fault_is_named(
+def test_error_names_the_field(
     tmp_path: pathlib.Path, change: dict[str, Any], message: str
 ) -> None:
     path = write(tmp_path, json.dumps({**GOOD, **change}))
@@ -61,13 +61,13 @@
     assert message in caught.value.detail
 
 
-def test_short_secret_is_refused() -> None:
+def test_short_secret_is_rejected() -> None:
     settings = model.Settings.model_validate({**GOOD, "fleet_secret": "short"})
     with pytest.raises(errors.SettingsError, match="found 5 characters"):
         settings.secret()
 
 
-def test_missing_file_is_one_line(tmp_path: pathlib.Path) -> None:
+def test_error_for_a_missing_file_is_one_line(tmp_path: pathlib.Path) -> None:
     with pytest.raises(errors.SettingsError) as caught:
         model.load(tmp_path / "none")
     assert "\n" not in str(caught.value)
