--- a/src/currantcart/platform/__init__.py
+++ b/src/currantcart/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's names, formats and calls; decides nothing."""
+"""Translation of the platform's names, formats and calls; no decisions."""
--- a/src/currantcart/platform/config.py
+++ b/src/currantcart/platform/config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document, read into the product's catalog."""
+"""Parsing of the operator's configuration document into the catalog."""
 
 from __future__ import annotations
 
@@ -14,13 +14,18 @@
 
 
 class Table(msgspec.Struct):
-    """Rows of values in the order of their columns."""
+    """A table whose rows hold values in the order of the columns.
+
+    Attributes:
+      columns: Names of the columns.
+      rows: Rows of values; null, or nothing at the end, if omitted.
+    """
 
     columns: list[str]
     rows: list[list[Any]]
 
     def records(self) -> list[dict[str, Any]]:
-        """Returns the rows by column, without what is omitted."""
+        """Returns each row as values by column name, without omitted ones."""
         return [
             {
                 column: value
@@ -32,14 +37,14 @@
 
 
 class SplitPart(msgspec.Struct):
-    """A service of a split."""
+    """A service in a traffic split."""
 
     service: str
     weight: float
 
 
 class RouteRecord(msgspec.Struct, rename="kebab"):
-    """A route."""
+    """A route in the document."""
 
     name: str
     host: str
@@ -55,14 +60,14 @@
 
 
 class ServiceRecord(msgspec.Struct, rename="kebab"):
-    """A service."""
+    """A service in the document."""
 
     name: str
     max_connections: int = 100
 
 
 class TenantRecord(msgspec.Struct, rename="kebab"):
-    """A tenant."""
+    """A tenant in the document; the catalog's workspace."""
 
     name: str
     api_keys: list[str] = []
@@ -72,7 +77,7 @@
 
 
 class LimitsRecord(msgspec.Struct, rename="kebab", frozen=True):
-    """Bounds on what clients send."""
+    """Limits on clients' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 64 * 1024 * 1024
@@ -81,7 +86,7 @@
 
 
 class Document(msgspec.Struct, rename="kebab"):
-    """The whole document."""
+    """The complete document."""
 
     version: int
     routes: Table
@@ -92,11 +97,16 @@
 
 
 UNUSED = frozenset({"health-path", "protocol", "tls"})
-"""Columns of services that nothing here needs."""
+"""Known columns of services that nodes do not use."""
 
 
 def unread_fields(text: bytes, document: Document) -> tuple[str, ...]:
-    """Returns the names in a document that nothing here knows."""
+    """Returns the names of fields and columns that are not supported.
+
+    Args:
+      text: Document as JSON.
+      document: The same document, decoded.
+    """
     tables: list[tuple[list[str], type[msgspec.Struct]]] = [
         (
             list(msgspec.json.decode(text, type=dict[str, msgspec.Raw])),
@@ -116,10 +126,10 @@
 
 
 def parse(text: bytes) -> model.Catalog:
-    """Reads a document.
+    """Parses a document.
 
     Raises:
-      errors.CurrantcartError: It can't be read.
+      errors.CurrantcartError: The document is not valid.
     """
     try:
         document = msgspec.json.decode(text, type=Document)
@@ -168,7 +178,7 @@
 
 
 def route_of(record: RouteRecord) -> model.Route:
-    """Returns the route of a record."""
+    """Converts a record to the catalog's route."""
     if record.traffic_split:
         parts = tuple(
             model.Part(part.service, part.weight)
--- a/src/currantcart/platform/names.py
+++ b/src/currantcart/platform/names.py
@@ -1,4 +1,4 @@
-"""Header names, keys and paths of the platform."""
+"""Header names, store keys, paths and calls of the platform."""
 
 from __future__ import annotations
 
--- a/src/currantcart/platform/reports.py
+++ b/src/currantcart/platform/reports.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves: heartbeats and leaves."""
+"""Parsing of targets' reports: heartbeats and leave messages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Heartbeat(msgspec.Struct, rename="kebab"):
-    """Body of a heartbeat."""
+    """Body of a heartbeat message."""
 
     service: str
     address: str
@@ -27,32 +27,36 @@
 
 
 class Leave(msgspec.Struct):
-    """Body of a leave; it may be empty."""
+    """Body of a leave message; may be empty."""
 
     born: int = 0
 
 
 def invalid(detail: str) -> errors.CurrantcartError:
-    """Returns the error for a report that can't be read."""
+    """Returns the error for a report that is not valid."""
     return errors.CurrantcartError(
         errors.Code.BAD_REQUEST, errors.Step.PARSE, detail
     )
 
 
 def parse(path: str, body: bytes) -> target_record.Report:
-    """Reads a report.
+    """Parses a report.
+
+    Args:
+      path: Path of the request with its query.
+      body: Body of the request.
 
     Raises:
-      errors.CurrantcartError: It can't be read, or names no target.
+      errors.CurrantcartError: The report is not valid or names no target.
     """
     parts = urllib.parse.urlsplit(path)
     query = urllib.parse.parse_qs(parts.query)
     call, target_id = query.get("call", [""])[0], query.get("of", [""])[0]
     if parts.path != names.REPORT_PATH or not target_id:
-        raise invalid(f"no report: {path[:80]}")
+        raise invalid(f"not a target report: {path[:80]}")
     try:
         if call == names.HEARTBEAT_CALL:
-            return of_heartbeat(
+            return heartbeat_report(
                 target_id, msgspec.json.decode(body, type=Heartbeat)
             )
         if call == names.DEREGISTER_CALL:
@@ -69,23 +73,29 @@
             )
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise invalid(str(error)) from error
-    raise invalid(f"call {call[:40]!r}")
+    raise invalid(f"unknown call {call[:40]!r}")
+
 
+def heartbeat_report(
+    target_id: str, heartbeat: Heartbeat
+) -> target_record.Report:
+    """Converts a heartbeat message to a report.
 
-def of_heartbeat(target_id: str, beat: Heartbeat) -> target_record.Report:
-    """Returns the report of a heartbeat."""
-    ready = STATES.get(beat.state)
+    Raises:
+      errors.CurrantcartError: The state is unknown.
+    """
+    ready = STATES.get(heartbeat.state)
     if ready is None:
-        raise invalid(f"state {beat.state[:40]!r}")
+        raise invalid(f"unknown target state {heartbeat.state[:40]!r}")
     phase = target_record.Phase.READY
     if not ready:
         phase = target_record.Phase.DRAINING
     return target_record.Report(
         target_id=target_id,
-        born=beat.born,
-        sequence=beat.sequence,
+        born=heartbeat.born,
+        sequence=heartbeat.sequence,
         phase=phase,
-        service=beat.service,
-        slots=beat.slots,
-        cold_ms=beat.cold_remaining_s * MS,
+        service=heartbeat.service,
+        slots=heartbeat.slots,
+        cold_ms=heartbeat.cold_remaining_s * MS,
     )
--- a/src/currantcart/platform/store.py
+++ b/src/currantcart/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value calls behind the store port."""
+"""Adapter for the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from currantcart.store import leased, port
 
 TIMEOUT_SECONDS = 1.2
-NOTHING_DONE = frozenset({429, 503})
+# Statuses with which the store rejects a call before it takes effect.
+REJECTED_STATUSES = frozenset({429, 503})
 Body = TypeVar("Body")
 
 
 class StoredItem(msgspec.Struct, rename="kebab"):
-    """An item as the store tells it."""
+    """An item in an answer of the store."""
 
     key: str
     value: str = ""
@@ -29,20 +30,20 @@
 
 
 class Event(msgspec.Struct):
-    """A change as a watch tells it; only its key matters here."""
+    """A change in the answer to a watch; only its key is used."""
 
     key: str
 
 
 class Events(msgspec.Struct, rename="kebab"):
-    """What a watch tells."""
+    """The answer to a watch."""
 
     events: list[Event]
     as_of: int
 
 
 class Written(msgspec.Struct):
-    """The answer to a transaction that was done."""
+    """The answer to a transaction that took effect."""
 
     revision: int
 
@@ -54,20 +55,20 @@
 
 
 class Page(msgspec.Struct, rename="kebab"):
-    """A page of items."""
+    """A page of a range of items."""
 
     items: list[StoredItem]
     has_more: bool = False
 
 
 class Lease(msgspec.Struct):
-    """A lease."""
+    """The answer to the creation of a lease."""
 
     lease: int
 
 
 def item_of(stored: StoredItem) -> leased.Item:
-    """Returns the port's item."""
+    """Converts an item of the store to the port's item."""
     return leased.Item(
         stored.key,
         base64.b64decode(stored.value),
@@ -80,9 +81,9 @@
 class KeyValueStore:
     """The platform's store.
 
-    A call has a connection to itself and a time limit: a connection on which
-    an answer is lost returns nothing further, and nothing but the silence
-    tells so.
+    Each call uses a connection exclusively and has a time limit. A connection
+    on which an answer was lost delivers no further answers, and this shows
+    only by the time-out.
     """
 
     def __init__(
@@ -99,10 +100,14 @@
         self.calls = 0
 
     async def connect(self) -> pool.Connection:
-        """Returns a connection for one call."""
-        kept = self.pool.take(self.clock.now())
-        if kept is not None:
-            return kept
+        """Returns an idle or new connection for one call.
+
+        Raises:
+          port.StoreUnavailable: The connection could not be opened.
+        """
+        idle = self.pool.take(self.clock.now())
+        if idle is not None:
+            return idle
         opened: asyncio.Future[pool.Connection] = self.loop.create_future()
 
         def on_open(connection: pool.Connection) -> None:
@@ -123,7 +128,12 @@
     async def exchange(
         self, method: str, path: str, body: bytes
     ) -> pool.Response:
-        """Makes one call."""
+        """Sends one request and returns the answer.
+
+        Raises:
+          port.StoreUnavailable: Nothing was sent.
+          port.StoreOutcomeUnknown: The connection broke before the answer.
+        """
         connection = await self.connect()
         answered: asyncio.Future[pool.Response] = self.loop.create_future()
 
@@ -161,11 +171,18 @@
         *,
         seconds: float = TIMEOUT_SECONDS,
     ) -> pool.Response:
-        """Makes one call within its time.
+        """Makes one call within a time limit.
+
+        Args:
+          method: HTTP method.
+          path: Path with its query.
+          body: Body, to be encoded as JSON; None for an empty one.
+          seconds: Time limit.
 
         Raises:
-          port.StoreUnavailable: Nothing was done.
-          port.StoreOutcomeUnknown: It may have been done, or will be.
+          port.StoreUnavailable: The call had no effect.
+          port.StoreOutcomeUnknown: The call may have taken effect, or may do
+            so later.
         """
         data = b"" if body is None else msgspec.json.encode(body)
         try:
@@ -173,25 +190,33 @@
                 response = await self.exchange(method, path, data)
         except TimeoutError as error:
             raise port.StoreOutcomeUnknown(
-                "no answer in time", peer=self.peer
+                "store did not answer within the time limit", peer=self.peer
             ) from error
-        if response.status in NOTHING_DONE:
+        if response.status in REJECTED_STATUSES:
             raise port.StoreUnavailable(
-                f"status {response.status}", peer=self.peer
+                f"store rejected the call with status {response.status}",
+                peer=self.peer,
             )
         return response
 
     def read(
         self, response: pool.Response, kind: type[Body], *, status: int = 200
     ) -> Body:
-        """Reads the body of an answer.
+        """Parses the body of an answer.
+
+        Args:
+          response: The answer.
+          kind: Type of the body.
+          status: Expected status.
 
         Raises:
-          port.StoreOutcomeUnknown: It is not what the store would say.
+          port.StoreOutcomeUnknown: The answer has another status, or its body
+            is not of the type.
         """
         if response.status != status:
             raise port.StoreOutcomeUnknown(
-                f"status {response.status}", peer=self.peer
+                f"store answered with unexpected status {response.status}",
+                peer=self.peer,
             )
         try:
             return msgspec.json.decode(response.body, type=kind)
@@ -209,7 +234,7 @@
         return item_of(self.read(response, StoredItem))
 
     async def list(self, prefix: str, *, stale: bool) -> list[leased.Item]:
-        """Reads all keys of a prefix, page by page."""
+        """Reads all keys with a prefix, page by page."""
         items: list[leased.Item] = []
         query = {"prefix": prefix}
         if stale:
@@ -227,7 +252,7 @@
     async def watch(
         self, prefix: str, *, after: int, wait_ms: float
     ) -> leased.Changes:
-        """Waits until something below a prefix changes."""
+        """Waits until a key with a prefix changes."""
         query = urllib.parse.urlencode(
             {"prefix": prefix, "after": after, "wait-ms": round(wait_ms)}
         )
@@ -237,14 +262,17 @@
             seconds=wait_ms / 1_000 + TIMEOUT_SECONDS,
         )
         if response.status == 410:
-            raise leased.HistoryLost(f"after {after}", peer=self.peer)
-        told = self.read(response, Events)
-        return leased.Changes(any=bool(told.events), as_of=told.as_of)
+            raise leased.HistoryLost(
+                f"store no longer has the changes after revision {after}",
+                peer=self.peer,
+            )
+        watched = self.read(response, Events)
+        return leased.Changes(any=bool(watched.events), as_of=watched.as_of)
 
     async def put(
         self, key: str, value: bytes, *, lease: int, expected: int
     ) -> leased.PutAnswer:
-        """Writes a key under a lease if it still has a revision."""
+        """Writes a key under a lease if its revision is as expected."""
         write = {
             "key": key,
             "value": base64.b64encode(value).decode(),
@@ -267,9 +295,14 @@
         return leased.PutAnswer(leased.PutOutcome.WRITTEN, revision)
 
     def changed(self, key: str, response: pool.Response) -> leased.PutAnswer:
-        """Reads what a key holds whose condition did not hold."""
-        told = self.read(response, Present, status=412)
-        for stored in told.items:
+        """Returns the answer to a write whose condition did not hold.
+
+        Args:
+          key: Key of the write.
+          response: The store's answer, with the current items.
+        """
+        current = self.read(response, Present, status=412)
+        for stored in current.items:
             if stored.key == key and stored.revision:
                 return leased.PutAnswer(
                     leased.PutOutcome.CHANGED, stored.revision, item_of(stored)
@@ -277,19 +310,19 @@
         return leased.PutAnswer(leased.PutOutcome.CHANGED)
 
     async def grant(self, *, ttl_ms: float) -> int:
-        """Creates a lease."""
+        """Creates a lease and returns its id."""
         response = await self.call(
             "POST", "/currantcart/kv-lease", {"ttl-s": ttl_ms / 1_000}
         )
         return self.read(response, Lease).lease
 
     async def keep(self, lease: int) -> bool:
-        """Renews a lease."""
+        """Renews a lease; False if the store does not confirm it."""
         response = await self.call("POST", f"/currantcart/kv-keep/{lease}")
         return response.status == 200
 
     async def end(self, lease: int) -> None:
-        """Ends a lease."""
+        """Revokes a lease."""
         await self.call("DELETE", f"/currantcart/kv-lease-end/{lease}")
 
     def close(self) -> None:
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -1,4 +1,4 @@
-"""The operator's document, read into the catalog."""
+"""Tests of parsing the operator's document into the catalog."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert catalog.limits.idle_ms == 15_000
 
 
-def test_a_split_names_its_parts() -> None:
+def test_a_traffic_split_becomes_weighted_parts() -> None:
     split = [
         {"service": "x", "weight": 90},
         {"service": "y", "weight": 10},
@@ -45,11 +45,11 @@
     ]
 
 
-def test_without_tenants_no_key_is_asked_for() -> None:
+def test_without_tenants_requests_need_no_key() -> None:
     assert not config.parse(changed(tenants=None)).keyed
 
 
-def test_unknown_fields_are_passed_over_and_named() -> None:
+def test_unknown_fields_are_ignored_and_listed() -> None:
     document = json.loads(fake_mesh.document(7))
     document["colour"] = "green"
     document["routes"]["columns"].append("shape")
@@ -72,7 +72,7 @@
         changed(limits={"idle-timeout-s": "long"}),
     ],
 )
-def test_what_cannot_be_read_is_a_coded_error(text: bytes) -> None:
+def test_invalid_document_is_a_coded_error(text: bytes) -> None:
     with pytest.raises(errors.CurrantcartError) as raised:
         config.parse(text)
     assert raised.value.step is errors.Step.CONFIG
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves."""
+"""Tests of parsing targets' reports."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return json.dumps({**GOOD, **values}).encode()
 
 
-def test_a_heartbeat_is_read() -> None:
+def test_a_heartbeat_becomes_a_report() -> None:
     assert reports.parse(HEARTBEAT, body()) == target_record.Report(
         target_id="t1",
         born=1_700_000_000_000,
@@ -42,13 +42,13 @@
     )
 
 
-def test_a_draining_target_says_so() -> None:
+def test_a_draining_state_becomes_the_draining_phase() -> None:
     report = reports.parse(HEARTBEAT, body(state="draining"))
     assert report.phase is target_record.Phase.DRAINING
 
 
 @pytest.mark.parametrize("text", [b"", b'{"born": 5}'])
-def test_a_leave_needs_no_body(text: bytes) -> None:
+def test_a_leave_message_needs_no_body(text: bytes) -> None:
     report = reports.parse(LEAVE, text)
     assert report.phase is target_record.Phase.LEFT
     assert report.born == (5 if text else 0)
@@ -69,9 +69,7 @@
         (LEAVE, b"{"),
     ],
 )
-def test_reports_of_another_writer_are_coded_errors(
-    path: str, text: bytes
-) -> None:
+def test_invalid_reports_are_coded_errors(path: str, text: bytes) -> None:
     with pytest.raises(errors.CurrantcartError) as raised:
         reports.parse(path, text)
     assert raised.value.code is errors.Code.BAD_REQUEST
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the port, with every answer of its pages."""
+"""Tests of the platform's store adapter with each documented answer."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("fault", [key_value.Fault.BUSY, key_value.Fault.MANY])
-async def test_turned_away_means_that_nothing_was_done(
+async def test_rejected_call_has_no_effect(
     standin: key_value.KeyValueStandIn,
     store: platform_store.KeyValueStore,
     fault: key_value.Fault,
@@ -105,12 +105,15 @@
         key_value.Fault.LATE,
     ],
 )
-async def test_without_an_answer_the_outcome_is_unknown_and_the_next_call_works(
+async def test_lost_answer_is_an_unknown_outcome_and_the_next_call_works(
     standin: key_value.KeyValueStandIn,
     store: platform_store.KeyValueStore,
     fault: key_value.Fault,
 ) -> None:
-    """An answer is lost; its connection returns nothing any more."""
+    """Guards against reuse of a connection on which an answer was lost.
+
+    Such a connection delivers no further answers.
+    """
     await store.get("warm/up")
     standin.fault = fault
     started = asyncio.get_running_loop().time()
@@ -121,7 +124,7 @@
     assert await store.grant(ttl_ms=30_000)
 
 
-async def test_a_slow_store_is_waited_for(
+async def test_a_slow_answer_within_the_time_limit_is_returned(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     standin.delay_seconds = 0.24
@@ -129,7 +132,7 @@
     assert await store.get("op/config") is not None
 
 
-async def test_one_connection_serves_calls_in_a_row(
+async def test_successive_calls_reuse_one_connection(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     for _ in range(5):
@@ -138,7 +141,7 @@
     assert len(standin.calls) == 5
 
 
-async def test_a_store_that_nobody_runs_is_unavailable() -> None:
+async def test_an_unreachable_store_is_unavailable() -> None:
     loop = asyncio.get_running_loop()
     store = platform_store.KeyValueStore(
         ("10.9.9.8", 1),
@@ -149,7 +152,7 @@
         await store.get("n/1")
 
 
-async def test_a_write_whose_condition_does_not_hold_tells_what_is_there(
+async def test_a_write_whose_condition_fails_returns_the_current_item(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     lease = await store.grant(ttl_ms=3_000)
@@ -168,10 +171,10 @@
     assert "n/2" not in standin.items
 
 
-async def test_a_write_that_is_done_late_does_nothing_to_a_later_one(
+async def test_a_delayed_write_does_not_replace_a_later_one(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
-    """The store says nothing to a write and does it two seconds later."""
+    """The store does not answer a write and applies it two seconds later."""
     lease = await store.grant(ttl_ms=30_000)
     standin.fault = key_value.Fault.LATE
     with pytest.raises(port.StoreOutcomeUnknown):
@@ -184,7 +187,7 @@
     assert item.value == b"leaving"
 
 
-async def test_a_watch_tells_of_a_change_at_once(
+async def test_a_watch_reports_a_change_immediately(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     standin.operate("op/config", b"1")
@@ -198,14 +201,14 @@
     assert 0.5 <= loop.time() - started < 0.6
 
 
-async def test_a_watch_without_a_change_ends_with_its_wait(
+async def test_a_watch_without_a_change_ends_after_its_wait(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     changes = await store.watch("op/", after=standin.revision, wait_ms=2_000)
     assert changes == leased.Changes(any=False, as_of=standin.revision)
 
 
-async def test_a_watch_whose_history_is_gone_says_so(
+async def test_a_watch_raises_if_the_history_is_lost(
     standin: key_value.KeyValueStandIn, store: platform_store.KeyValueStore
 ) -> None:
     standin.compacted = 20
@@ -216,7 +219,7 @@
 @pytest.mark.parametrize(
     "fault", [key_value.Fault.RESET, key_value.Fault.SILENT]
 )
-async def test_a_watch_that_is_cut_or_hears_nothing_ends(
+async def test_a_watch_ends_if_reset_or_unanswered(
     standin: key_value.KeyValueStandIn,
     store: platform_store.KeyValueStore,
     fault: key_value.Fault,
