--- a/src/currantcart/admission/pressure.py
+++ b/src/currantcart/admission/pressure.py
@@ -33,7 +33,7 @@
 """Utilization of the slots below which there is spare capacity."""
 REPORTED_CHANGE_MIN = 0.04
 LEVEL_MAX = 0.9
-LEAST = 0.01
+LEVEL_MIN = 0.01
 LEVEL_STEPS = 256
 """Steps of a reported level; a fraction of few bits compresses well."""
 WAIT_OF_OBJECTIVE = 0.15
@@ -64,7 +64,7 @@
         self.accepted = 0
         self.reported = 0.0
 
-    def note_offer(self, *, refused: bool) -> None:
+    def count_offer(self, *, refused: bool) -> None:
         """Counts a request that the target's queue refused or accepted."""
         if refused:
             self.refused += 1
@@ -133,20 +133,22 @@
     return {
         name: value / total
         for name, value in sums.items()
-        if value / total >= LEAST
+        if value / total >= LEVEL_MIN
     }
 
 
-def coarse(levels: Pressure) -> Pressure:
+def quantize(levels: Pressure) -> Pressure:
     """Returns levels as reported: rounded down, so that echoes die out."""
     reported = {
         name: math.floor(level * LEVEL_STEPS) / LEVEL_STEPS
         for name, level in levels.items()
     }
-    return {name: level for name, level in reported.items() if level >= LEAST}
+    return {
+        name: level for name, level in reported.items() if level >= LEVEL_MIN
+    }
 
 
-def strongest(parts: Iterable[Pressure]) -> Pressure:
+def highest_levels(parts: Iterable[Pressure]) -> Pressure:
     """Returns the highest level of each service."""
     merged: Pressure = {}
     for levels in parts:
@@ -226,7 +228,7 @@
         self.histograms: dict[str, RankHistogram] = {}
         self.evidence: dict[tuple[str, str], Evidence] = {}
 
-    def shed_by(
+    def shed_for(
         self,
         *,
         route: str,
@@ -259,7 +261,7 @@
                 shed_for = overloaded
         return shed_for
 
-    def note_end(
+    def record_end(
         self, *, route: str, levels: Pressure, failed: bool, now: float
     ) -> None:
         """Records how a request ended that was not shed."""
--- a/src/currantcart/admission/slots.py
+++ b/src/currantcart/admission/slots.py
@@ -87,14 +87,14 @@
       priority: Its priority; the lowest number is the most urgent.
       wait_until: When it is refused if it is still waiting.
       started_at: When it got its slot; negative while it waits.
-      gone: Whether it was refused, or left the queue without a slot.
+      discarded: Whether it was refused, or left the queue without a slot.
     """
 
     item: Item
     priority: int
     wait_until: float
     started_at: float = -1.0
-    gone: bool = False
+    discarded: bool = False
 
 
 class SlotQueue(Generic[Item]):
@@ -193,7 +193,7 @@
             self.assign_slot(ticket, now)
             return Verdict.RUN, ticket
         if self.expected_wait_ms(priority) > wait_limit:
-            ticket.gone = True
+            ticket.discarded = True
             return Verdict.REFUSE, ticket
         heapq.heappush(self.heap, (priority, next(self.numbers), ticket))
         self.waiting += 1
@@ -202,8 +202,8 @@
 
     def withdraw(self, ticket: Ticket[Item]) -> None:
         """Removes a request from the queue, unless it has left it already."""
-        if not ticket.gone and ticket.started_at < 0:
-            ticket.gone = True
+        if not ticket.discarded and ticket.started_at < 0:
+            ticket.discarded = True
             self.count_out(ticket)
 
     def count_out(self, ticket: Ticket[Item]) -> None:
@@ -227,14 +227,14 @@
             held_ms=now - ticket.started_at,
         )
 
-    def forfeit(self, ticket: Ticket[Item], now: float) -> None:
+    def release_unused(self, ticket: Ticket[Item], now: float) -> None:
         """Frees the slot of a request that did not start."""
         self.running -= 1
         self.occupancy.end(
             kind_of(ticket.priority), now, self.slots, held_ms=None
         )
 
-    def next(self, now: float) -> Ticket[Item] | None:
+    def start_next(self, now: float) -> Ticket[Item] | None:
         """Assigns a free slot to the most urgent waiting request.
 
         Returns:
@@ -242,24 +242,24 @@
         """
         while self.heap and self.running < self.slots:
             ticket = heapq.heappop(self.heap)[2]
-            if ticket.gone:
+            if ticket.discarded:
                 continue
             self.count_out(ticket)
             self.assign_slot(ticket, now)
             return ticket
         return None
 
-    def overdue(self, now: float) -> list[Ticket[Item]]:
+    def remove_overdue(self, now: float) -> list[Ticket[Item]]:
         """Removes and returns the requests that have waited too long."""
         late = [
             entry[2]
             for entry in self.heap
-            if not entry[2].gone and entry[2].wait_until <= now
+            if not entry[2].discarded and entry[2].wait_until <= now
         ]
         for ticket in late:
             self.withdraw(ticket)
         if late:
-            self.heap = [entry for entry in self.heap if not entry[2].gone]
+            self.heap = [entry for entry in self.heap if not entry[2].discarded]
             heapq.heapify(self.heap)
         return late
 
--- a/src/currantcart/call/budget.py
+++ b/src/currantcart/call/budget.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class Usage:
     """Usage of a retry budget at one moment.
 
     Attributes:
@@ -63,7 +63,7 @@
         self.retries: dict[int, int] = {}
         self.refused_at = float("-inf")
 
-    def note_request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Counts a request for the service."""
         self.add(self.requests, now)
 
@@ -112,16 +112,16 @@
             counted += requests.get(start - BUCKETS, 0)
         return max(0.0, least)
 
-    def standing(self, now: float, *, share: float) -> Standing:
+    def standing(self, now: float, *, share: float) -> Usage:
         """Returns the usage of the budget now.
 
         Args:
           now: Milliseconds of the node's clock.
           share: This node's share of the slack, 0 to 1.
         """
-        return Standing(
+        return Usage(
             self.requests_in_window(now),
-            self.repeats_in_window(now),
+            self.retries_in_window(now),
             self.left(now, share=share),
         )
 
@@ -129,7 +129,7 @@
         """Returns the number of requests in the window that ends now."""
         return self.count_in_window(self.requests, now)
 
-    def repeats_in_window(self, now: float) -> int:
+    def retries_in_window(self, now: float) -> int:
         """Returns the number of retries in the window that ends now."""
         return self.count_in_window(self.retries, now)
 
--- a/src/currantcart/call/fixed_part.py
+++ b/src/currantcart/call/slack_share.py
@@ -12,7 +12,7 @@
 """
 
 
-class FixedPart:
+class SlackShare:
     """One node's share, by the largest fleet that it has seen recently.
 
     A process has no share in its first window: its predecessor may have used
@@ -34,7 +34,7 @@
         self.nodes = 0
         self.nodes_at = started_at
 
-    def note(self, nodes: int, now: float) -> None:
+    def observe_nodes(self, nodes: int, now: float) -> None:
         """Records the number of known nodes, with this one; 0 for unknown."""
         while self.sizes and self.sizes[-1][1] <= nodes:
             self.sizes.pop()
--- a/src/currantcart/fleet/target_record.py
+++ b/src/currantcart/fleet/target_record.py
@@ -49,20 +49,20 @@
     Attributes:
       last: The last accepted report; None before the first.
       restored: Whether the record of the previous process has been read.
-      first: A report that needs a second one to confirm it.
+      unconfirmed: A report that needs a second one to confirm it.
     """
 
     def __init__(self) -> None:
         self.last: Report | None = None
         self.restored = False
-        self.first: Report | None = None
+        self.unconfirmed: Report | None = None
 
     def restore(self, report: Report | None) -> None:
         """Restores the record that the previous process stored."""
         self.restored = True
         self.last = newest(self.last, report)
 
-    def hear_left(self, target_id: str, born: int) -> bool:
+    def apply_leave(self, target_id: str, born: int) -> bool:
         """Applies a peer's report that the local target is leaving.
 
         It is accepted even if nothing else is known yet: a restarted node may
@@ -80,9 +80,9 @@
         if self.last is None:
             self.last = report
             return True
-        return self.take(report)
+        return self.apply(report)
 
-    def take(self, report: Report, *, wall_ms: float = 0.0) -> bool:
+    def apply(self, report: Report, *, wall_ms: float = 0.0) -> bool:
         """Applies a report unless it is outdated.
 
         Until the record of the previous process has been read, a single
@@ -99,11 +99,11 @@
         if report.phase is Phase.LEFT:
             report = self.with_incarnation(report, wall_ms)
         last = self.last
-        if last is not None and not is_after(report, last):
+        if last is not None and not supersedes(report, last):
             return False
         if report.phase is Phase.READY and last is None and not self.restored:
-            first, self.first = self.first, report
-            if first is None or not is_after(report, first):
+            unconfirmed, self.unconfirmed = self.unconfirmed, report
+            if unconfirmed is None or not supersedes(report, unconfirmed):
                 return False
         self.last = report
         return True
@@ -126,10 +126,10 @@
     """Returns the one of two reports that supersedes the other."""
     if first is None or second is None:
         return first or second
-    return second if is_after(second, first) else first
+    return second if supersedes(second, first) else first
 
 
-def is_after(report: Report, last: Report) -> bool:
+def supersedes(report: Report, last: Report) -> bool:
     """Returns whether a report supersedes another one.
 
     Within an incarnation, leaving is final: only a later incarnation of the
--- a/src/currantcart/node/admin.py
+++ b/src/currantcart/node/admin.py
@@ -1,4 +1,4 @@
-"""Admin HTTP of one node: metrics, status and explanations."""
+"""Admin HTTP of one node: metrics, status, readiness and decisions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from currantcart.node import distribute, gossip, guard
 
 
-class Shown(Protocol):
-    """A node as this page shows it."""
+class NodeState(Protocol):
+    """The state of a node that the admin pages show."""
 
     context: node_context.NodeContext
     guard: guard.Guard
@@ -22,11 +22,11 @@
     gossip: gossip.Gossip
 
     def is_ready(self) -> bool:
-        """Tells whether the node serves."""
+        """Returns whether the node is ready to serve calls."""
 
 
-def status_of(node: Shown) -> dict[str, object]:
-    """Returns the state of a node as people ask for it."""
+def status_of(node: NodeState) -> dict[str, object]:
+    """Returns the state of a node for the status page."""
     context, admission = node.context, node.guard.admission
     pool = node.guard.pool
     now = context.clock.now()
@@ -57,7 +57,7 @@
     }
 
 
-def build_app(node: Shown) -> web.Application:
+def build_app(node: NodeState) -> web.Application:
     """Returns the admin application."""
 
     async def metrics(request: web.Request) -> web.Response:
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -1,4 +1,4 @@
-"""Forwarding: attempts at targets, and the answer's way to the caller."""
+"""Forwards calls: attempts at targets until one gives the final outcome."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from currantcart.graph import model as graph_model
 from currantcart.http1 import headers, server
 from currantcart.membership import model as membership_model
+from currantcart.node import answer_relay, outcome, upload
 from currantcart.node import context as node_context
-from currantcart.node import learning, relay, upload
 from currantcart.node import links as node_links
 from currantcart.routing import router
 from currantcart.telemetry import record
@@ -28,9 +28,9 @@
 
     Attributes:
       candidate: The target.
-      lent: Retries lent to it.
-      stream: Its stream once it is open.
-      head: What came back.
+      lent: Retries lent to the attempt.
+      stream: Stream of the call, once it is open.
+      head: Head of the answer, or the refusal, once received.
     """
 
     candidate: router.Candidate
@@ -40,7 +40,7 @@
 
 
 class Forwarder:
-    """Forwards the calls that this node takes."""
+    """Forwards the calls that this node accepts."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
     async def forward(
         self, call: call_model.Call, exchange: server.Exchange
     ) -> messages.Answer:
-        """Brings a call to a target and its answer back.
+        """Forwards a call to a target and relays the answer to the caller.
 
         Returns:
-          The head of the answer that the caller got.
+          The head of the answer that was sent to the caller.
 
         Raises:
-          errors.Refusal: No target answered.
+          errors.Refusal: No target answered, or the deadline passed.
         """
         remaining_ms = call.deadline_ms - self.context.clock.now()
         try:
@@ -82,12 +82,12 @@
 
 
 class Forwarding:
-    """One call on its way.
+    """Forwarding of one call.
 
     Attributes:
-      tried: Instances that failed for this call.
+      tried: Instances at which an attempt failed.
       earlier_unknown: Whether an earlier attempt may have run the call.
-      upload: The body of the request.
+      upload: Body of the request.
     """
 
     def __init__(
@@ -105,33 +105,38 @@
         self.upload = upload.Upload(exchange, forwarder.context.loop)
 
     async def run(self) -> messages.Answer:
-        """Makes attempts until one is final."""
+        """Makes attempts until one is final; relays its answer."""
         attempts = retry.Attempts(
             idempotent=self.call.idempotent, replayable=True
         )
-        self.context.budget.first_attempt()
+        self.context.budget.count_first_attempt()
         while True:
             attempt = self.choose(attempts)
             try:
                 await self.begin(attempt)
-                refusal = self.judge(attempt)
+                refusal = self.process_head(attempt)
                 if refusal is None:
                     retrying = self.retry_answer(attempt, attempts)
                     if not retrying:
                         return await self.relay(attempt)
-                elif not self.go_on(refusal, attempts):
+                elif not self.retry_refusal(refusal, attempts):
                     try:
                         raise refusal
                     finally:
-                        # Its traceback refers to this frame; without this
-                        # each refusal would wait for the garbage collector.
+                        # The traceback of the refusal refers to this frame,
+                        # and the frame to the refusal: without `del`, only the
+                        # garbage collector would free the cycle.
                         del refusal
             finally:
                 self.end(attempt)
             self.tried.add(attempt.candidate.member.instance)
 
     def choose(self, attempts: retry.Attempts) -> Attempt:
-        """Picks the target of the next attempt."""
+        """Selects the target of the next attempt.
+
+        Targets that failed for this call are excluded, except for a retry that
+        has no other target.
+        """
         call = self.call
         now = self.context.clock.now()
         try:
@@ -151,7 +156,7 @@
                 raise
         candidate.in_flight += 1
         candidate.health.started()
-        self.note(record.Event.ROUTED, candidate.member.instance)
+        self.record_event(record.Event.ROUTED, candidate.member.instance)
         return Attempt(candidate=candidate, lent=call.allowance.lend())
 
     def opening(self, attempt: Attempt) -> messages.Open:
@@ -183,7 +188,7 @@
         )
 
     async def begin(self, attempt: Attempt) -> None:
-        """Opens the call at the target's node and waits for a head."""
+        """Opens the call at the target's node and waits for the head."""
         member = attempt.candidate.member
         try:
             attempt.stream = await self.open(member, attempt)
@@ -197,23 +202,27 @@
         member: membership_model.Member,
         attempt: Attempt,
     ) -> call_stream.CallStream:
-        """Opens the stream of an attempt."""
+        """Opens the stream of an attempt, locally or to a peer."""
         opening = self.opening(attempt)
         if member.instance == self.context.instance:
-            here, there = connection.join_local(
+            local_end, target_end = connection.join_local(
                 opening, instance=member.instance, loop=self.context.loop
             )
-            self.forwarder.arrive(opening, there)
-            return here
-        link = self.forwarder.links.current(member.instance)
+            self.forwarder.arrive(opening, target_end)
+            return local_end
+        link = self.forwarder.links.usable_stream(member.instance)
         if link is None:
-            link = await self.forwarder.links.reach(member)
+            link = await self.forwarder.links.connect(member)
         return link.open(opening)
 
     def failed_head(
         self, attempt: Attempt, error: errors.StreamError
     ) -> messages.Refuse:
-        """Returns the refusal that a broken stream amounts to."""
+        """Returns the refusal that stands for a failed stream.
+
+        If the stream had been opened, the call may have run, and the retries
+        lent to it are lost.
+        """
         member = attempt.candidate.member
         return messages.Refuse(
             call_number=0,
@@ -229,16 +238,16 @@
             limit=0.0,
         )
 
-    def judge(self, attempt: Attempt) -> errors.Refusal | None:
-        """Takes what came back of an attempt.
+    def process_head(self, attempt: Attempt) -> errors.Refusal | None:
+        """Processes the head of an attempt.
 
         Returns:
-          The refusal, or None for an answer of the target.
+          The refusal, or None if the target answered.
         """
         head = attempt.head
         assert head is not None
         self.call.allowance.give_back(head.allowance, lent=attempt.lent)
-        learning.learn(self.context, self.call, attempt.candidate, head)
+        outcome.record(self.context, self.call, attempt.candidate, head)
         if isinstance(head, messages.Answer):
             return None
         return errors.Refusal(
@@ -251,33 +260,39 @@
             shed_level=head.shed_level,
         )
 
-    def go_on(self, refusal: errors.Refusal, attempts: retry.Attempts) -> bool:
+    def retry_refusal(
+        self, refusal: errors.Refusal, attempts: retry.Attempts
+    ) -> bool:
         """Decides whether another attempt follows a refusal."""
-        attempts.replayable = not self.upload.taken
+        attempts.replayable = not self.upload.streamed
         if not refusal.not_run:
             self.earlier_unknown = True
         if not self.context.controlled:
-            return self.go_on_naively(attempts)
+            return self.retry_naively(attempts)
         following = attempts.after_refusal(
             code=refusal.code,
             not_run=refusal.not_run,
             remaining=self.call.allowance,
             budget=self.context.budget,
         )
-        return self.note_next(following, refusal.code)
+        return self.record_next(following, refusal.code)
+
+    def retry_naively(self, attempts: retry.Attempts) -> bool:
+        """Retries as a plain proxy does: the baseline without overload control.
 
-    def go_on_naively(self, attempts: retry.Attempts) -> bool:
-        """Retries as a plain proxy does; only for baselines."""
+        Returns:
+          Whether another attempt follows.
+        """
         attempts.retries += 1
         return attempts.replayable and attempts.retries < NAIVE_ATTEMPTS
 
     def retry_answer(self, attempt: Attempt, attempts: retry.Attempts) -> bool:
-        """Decides whether another attempt follows a target's answer."""
+        """Decides whether another attempt follows an answer of the target."""
         answer = attempt.head
         assert isinstance(answer, messages.Answer)
-        attempts.replayable = not self.upload.taken
+        attempts.replayable = not self.upload.streamed
         if not self.context.controlled:
-            return answer.status >= 500 and self.go_on_naively(attempts)
+            return answer.status >= 500 and self.retry_naively(attempts)
         following = attempts.after_status(
             answer.status,
             remaining=self.call.allowance,
@@ -285,10 +300,14 @@
         )
         if following is retry.Next.RETRY:
             self.earlier_unknown = True
-        return self.note_next(following, str(answer.status))
+        return self.record_next(following, str(answer.status))
+
+    def record_next(self, following: retry.Next, why: str) -> bool:
+        """Records what follows a failed attempt.
 
-    def note_next(self, following: retry.Next, why: str) -> bool:
-        """Records what follows a failed attempt."""
+        Returns:
+          Whether another attempt follows.
+        """
         if following is retry.Next.STOP:
             return False
         event = (
@@ -299,7 +318,7 @@
         self.context.metrics.retries.labels(
             self.call.service, following.value
         ).inc()
-        self.note(event, "", detail=why)
+        self.record_event(event, "", detail=why)
         return True
 
     async def relay(self, attempt: Attempt) -> messages.Answer:
@@ -307,20 +326,22 @@
         answer, stream = attempt.head, attempt.stream
         assert isinstance(answer, messages.Answer)
         assert stream is not None
-        await relay.relay(self.exchange, self.call, answer, stream)
-        self.note(record.Event.ANSWERED, "", detail=str(answer.status))
+        await answer_relay.relay(self.exchange, self.call, answer, stream)
+        self.record_event(record.Event.ANSWERED, "", detail=str(answer.status))
         return answer
 
     def end(self, attempt: Attempt) -> None:
-        """Gives back what an attempt held."""
+        """Releases what an attempt held: its load, health probe and stream."""
         attempt.candidate.in_flight -= 1
         if attempt.head is None:
             attempt.candidate.health.released()
         self.upload.end()
         if attempt.stream is not None:
-            attempt.stream.reset(errors.Code.CANCELLED, "given up")
+            attempt.stream.reset(errors.Code.CANCELLED, "the attempt has ended")
 
-    def note(self, event: record.Event, peer: str, *, detail: str = "") -> None:
+    def record_event(
+        self, event: record.Event, peer: str, *, detail: str = ""
+    ) -> None:
         """Records a decision on the call."""
         self.context.recorder.note(
             event,
--- a/src/currantcart/node/learning.py
+++ b/src/currantcart/node/outcome.py
@@ -1,7 +1,8 @@
-"""What a node learns from the end of an attempt.
+"""Records the outcome of an attempt where later decisions use it.
 
-The router learns load and health, the throttle whether the call was shed, and
-a running parent that its own answer has to carry that on.
+The router receives load and health of the target, the throttle whether the call
+was shed. A running parent records a shed call, as its answer reports it
+upstream.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 
 
 def stream_of(call: call_model.Call) -> throttle.Stream:
-    """Returns the stream under which a call is throttled."""
+    """Returns the throttle's key for a call."""
     return throttle.Stream(call.service, call.workspace, call.priority)
 
 
-def learn(
+def record(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
     head: call_stream.Head,
 ) -> None:
-    """Learns from what came back of an attempt."""
+    """Records the head that ended an attempt."""
     if head.limit > 0:
-        context.router.report(
+        context.router.record_report(
             candidate,
             load=head.load,
             limit=head.limit,
@@ -47,18 +48,18 @@
             now=context.clock.now(),
         )
     if isinstance(head, messages.Answer):
-        learn_from_answer(context, call, candidate, head)
+        record_answer(context, call, candidate, head)
     else:
-        learn_from_refusal(context, call, candidate, head)
+        record_refusal(context, call, candidate, head)
 
 
-def learn_from_answer(
+def record_answer(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
     answer: messages.Answer,
 ) -> None:
-    """Learns from a target's answer."""
+    """Records an answer of the target."""
     shed_below = (
         answer.status >= 500 and answer.shed_level > graph_model.NO_SHEDDING
     )
@@ -66,23 +67,23 @@
         candidate.health.failed(context.clock.now())
     else:
         candidate.health.succeeded()
-    note_shedding(
+    record_shedding(
         context, call, accepted=not shed_below, shed_level=answer.shed_level
     )
 
 
-def learn_from_refusal(
+def record_refusal(
     context: node_context.NodeContext,
     call: call_model.Call,
     candidate: router.Candidate,
     refuse: messages.Refuse,
 ) -> None:
-    """Learns from a refusal."""
+    """Records a refusal."""
     if refuse.code in FAILURE_CODES:
         candidate.health.failed(context.clock.now())
     else:
         candidate.health.released()
-    note_shedding(
+    record_shedding(
         context,
         call,
         accepted=refuse.code != errors.Code.OVERLOADED,
@@ -90,14 +91,14 @@
     )
 
 
-def note_shedding(
+def record_shedding(
     context: node_context.NodeContext,
     call: call_model.Call,
     *,
     accepted: bool,
     shed_level: int,
 ) -> None:
-    """Feeds the throttle, and the parent whose answer carries it on."""
+    """Records in the throttle, and in the parent, whether a call was shed."""
     context.throttle.answered(
         stream_of(call),
         accepted=accepted,
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -135,7 +135,7 @@
             on_fetch=self.feed.exchange.handle_fetch,
             on_call_frame=self.handle_call_frame,
             on_lost=self.handle_link_lost,
-            on_gone=lambda peer: self.quotas.forget(peer.member.process),
+            on_gone=lambda peer: self.quotas.remove_peer(peer.member.process),
             on_counts=self.statuses.apply_counts,
             expedited=self.quotas.expedited,
         )
@@ -304,7 +304,7 @@
         that the previous process recorded.
         """
         await self.registration.start()
-        self.feed.found_at = self.context.now
+        self.feed.peers_listed_at = self.context.now
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(PEER_WAIT_SECONDS_MAX):
                 await self.peer_status_received.wait()
@@ -330,7 +330,7 @@
         self.outbound.retries.record_fleet_size()
         now = self.context.now
         self.silence.tick(asking=bool(self.quotas.expedited()))
-        self.quotas.set_silent(self.silence.share(), now)
+        self.quotas.set_silent_share(self.silence.share(), now)
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
             nodes=peer_count + 1,
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -101,7 +101,7 @@
         self, call: call_module.Call, event: attempt.Event
     ) -> attempt.Outcome:
         """Applies an event to the current attempt; returns its outcome."""
-        outcome = attempt.after(call.outcomes[-1], event)
+        outcome = attempt.next_outcome(call.outcomes[-1], event)
         call.outcomes[-1] = outcome
         return outcome
 
@@ -117,7 +117,7 @@
             self.handle_chunk(call, frame.chunk)
             return
         if call.target is not None:
-            call.target.hear(
+            call.target.update_load(
                 busy=frame.busy, limit=frame.limit, now=self.context.now
             )
         if isinstance(frame, frames.Answer):
@@ -165,7 +165,7 @@
         target, call.target = call.target, None
         if target is not None:
             target.open -= 1
-            target.note(failed=failed, now=self.context.now)
+            target.record_outcome(failed=failed, now=self.context.now)
         if call.link is not None:
             call.link.calls.pop(call.number, None)
         call.link = call.job = call.local_reply = None
--- a/src/currantcart/proxy/requests/ingress.py
+++ b/src/currantcart/proxy/requests/ingress.py
@@ -41,7 +41,7 @@
         call.levels = self.pressure_on(call.service)
         if not call.levels:
             return ""
-        return self.shedder.shed_by(
+        return self.shedder.shed_for(
             route=request.route.name,
             service=call.service,
             rank=request.priority,
@@ -52,7 +52,7 @@
     def record_end(self, call: call_module.Call, *, failed: bool) -> None:
         """Records the result of an admitted request."""
         if call.levels:
-            self.shedder.note_end(
+            self.shedder.record_end(
                 route=call.request.route.name,
                 levels=call.levels,
                 failed=failed,
@@ -67,7 +67,7 @@
         """Returns the pressure on the services that the local target calls."""
         recent = self.context.now - CALLED_MS
         own = self.context.settings.service
-        levels = pressure.strongest(
+        levels = pressure.highest_levels(
             self.pressure_on(service)
             for service, at in self.called.items()
             if at > recent and service != own
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from currantcart.admission import pressure, returns, slots
+from currantcart.admission import pressure, retry_after, slots
 from currantcart.call import attempt, lineage
 from currantcart.http1 import status as status_module
 from currantcart.proxy import context as proxy_context
@@ -142,7 +142,7 @@
         chosen = self.picker.choose(
             targets,
             now=now,
-            passed_over=call.tried_instances,
+            exclude=call.tried_instances,
             objective_ms=call.request.route.objective_ms,
         )
         if chosen is None:
@@ -249,7 +249,7 @@
         final = attempt.final_answer(
             call.outcomes, idempotent=call.request.route.idempotent
         )
-        if final is attempt.Final.NOT_RUN:
+        if final is attempt.AnswerKind.NOT_RUN:
             call.retry_after_ms = call.retry_after_ms or UNREADY_RETRY_MS
             self.finish(call, 503, call.last_code)
         else:
@@ -257,7 +257,7 @@
 
     def reject(self, call: call_module.Call, code: str) -> None:
         """Rejects a request before any attempt, with a Retry-After."""
-        after = returns.return_after_ms(
+        after = retry_after.delay_ms(
             objective_ms=call.request.route.objective_ms
         )
         call.retry_after_ms = intake.jitter(after, self.context.rng)
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from currantcart import clock
-from currantcart.call import attempt, budget, fixed_part
+from currantcart.call import attempt, budget, slack_share
 from currantcart.proxy import context as proxy_context
 from currantcart.proxy import settings as proxy_settings
 from currantcart.proxy.requests import call as call_module
@@ -63,21 +63,21 @@
                 bounds.retry_slack,
             )
 
-    def new_fixed_part(self) -> fixed_part.FixedPart:
+    def new_fixed_part(self) -> slack_share.SlackShare:
         """Returns the share of a process that starts counting now."""
-        return fixed_part.FixedPart(
+        return slack_share.SlackShare(
             window_ms=self.window_ms, started_at=self.context.now
         )
 
     def record_fleet_size(self) -> None:
         """Records the number of known nodes; called at regular intervals."""
-        self.fixed_part.note(self.node_count(), self.context.now)
+        self.fixed_part.observe_nodes(self.node_count(), self.context.now)
 
     def share(self) -> float:
         """Returns this node's share of the fixed number of retries, 0 to 1."""
         return self.fixed_part.share(self.context.now)
 
-    def standings(self) -> dict[str, budget.Standing]:
+    def standings(self) -> dict[str, budget.Usage]:
         """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
@@ -97,7 +97,7 @@
         """
 
         def each(
-            value: Callable[[budget.Standing], float],
+            value: Callable[[budget.Usage], float],
         ) -> Callable[[], dict[str, float]]:
             return lambda: {
                 service: value(standing)
@@ -119,7 +119,7 @@
         """
         if call.lineage.repeated:
             return self.spend_budget(call, CALLED_BY_RETRY)
-        self.budget_of(call.service).note_request(self.context.now)
+        self.budget_of(call.service).count_request(self.context.now)
         self.context.counts.add("budgeted_requests", call.service)
         return True
 
--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -107,7 +107,7 @@
             limit=self.queue.slots,
             busy=self.busy,
             cold_ms=math.ceil(max(0.0, self.cold_until - self.context.now)),
-            pressure=pressure.coarse(self.pressure()),
+            pressure=pressure.quantize(self.pressure()),
             leaving=bool(self.target_id) and not self.ready,
             born=self.born,
             work_ms=math.ceil(self.exchange.speed.reported_ms),
@@ -116,9 +116,9 @@
     def pressure(self) -> pressure.Pressure:
         """Returns the overload of the target and of the services it calls."""
         local: pressure.Pressure = {}
-        if self.gauge.level >= pressure.LEAST:
+        if self.gauge.level >= pressure.LEVEL_MIN:
             local[self.context.settings.service] = round(self.gauge.level, 3)
-        return pressure.strongest([local, self.called_pressure()])
+        return pressure.highest_levels([local, self.called_pressure()])
 
     def update_gauge(self) -> bool:
         """Updates the overload level.
@@ -196,11 +196,11 @@
             age_ms=opening.age_ms,
         )
         if verdict is not slots.Verdict.REFUSE:
-            self.gauge.note_offer(refused=False)
+            self.gauge.count_offer(refused=False)
         if verdict is slots.Verdict.RUN:
             self.start(job)
         elif verdict is slots.Verdict.REFUSE:
-            self.gauge.note_offer(refused=True)
+            self.gauge.count_offer(refused=True)
             self.refuse(job, "queue_full")
         elif self.sweeping is None:
             self.sweeping = self.loop.call_later(SWEEP_SECONDS, self.sweep)
@@ -243,7 +243,7 @@
             return
         job.reply = None
         ticket = job.ticket
-        if ticket is None or ticket.gone:
+        if ticket is None or ticket.discarded:
             return
         if ticket.started_at < 0:
             self.queue.withdraw(ticket)
@@ -269,13 +269,13 @@
             return
         now = self.context.now
         while True:
-            ticket = self.queue.next(now)
+            ticket = self.queue.start_next(now)
             if ticket is None:
                 return
             job = ticket.item
             reason = self.refusal_reason(job, now)
             if reason:
-                self.queue.forfeit(ticket, now)
+                self.queue.release_unused(ticket, now)
                 self.refuse(job, reason)
             else:
                 self.start(job)
@@ -308,15 +308,15 @@
     def refuse_waiting(self, code: str) -> None:
         """Refuses all waiting requests."""
         for _, _, ticket in list(self.queue.heap):
-            if not ticket.gone:
+            if not ticket.discarded:
                 self.queue.withdraw(ticket)
                 self.refuse(ticket.item, code)
 
     def sweep(self) -> None:
         """Refuses requests that have exceeded their longest wait."""
         self.sweeping = None
-        for ticket in self.queue.overdue(self.context.now):
-            self.gauge.note_offer(refused=True)
+        for ticket in self.queue.remove_overdue(self.context.now):
+            self.gauge.count_offer(refused=True)
             self.refuse(ticket.item, "waited_too_long")
         if self.queue.waiting:
             self.sweeping = self.loop.call_later(SWEEP_SECONDS, self.sweep)
--- a/src/currantcart/proxy/targets/target_reports.py
+++ b/src/currantcart/proxy/targets/target_reports.py
@@ -72,7 +72,7 @@
         `PERSIST_SECONDS_MAX`.
         """
         before = self.record.last
-        if not self.record.take(report, wall_ms=self.context.clock.wall()):
+        if not self.record.apply(report, wall_ms=self.context.clock.wall()):
             self.context.log.event(
                 "report_passed_over",
                 target=report.target_id,
@@ -124,7 +124,7 @@
 
     async def apply_first(self) -> None:
         """Applies a report that was received before the store was read."""
-        first, self.record.first = self.record.first, None
+        first, self.record.unconfirmed = self.record.unconfirmed, None
         if first is not None:
             await self.apply(first)
 
--- a/src/currantcart/routing/picker.py
+++ b/src/currantcart/routing/picker.py
@@ -78,12 +78,12 @@
         busy = self.busy + self.open - self.reported_open
         return max(busy, self.open, 0) / max(1, self.limit)
 
-    def hear(self, *, busy: int, limit: int, now: float) -> None:
+    def update_load(self, *, busy: int, limit: int, now: float) -> None:
         """Records the load that the target's node reported."""
         self.busy, self.limit, self.reported_open = busy, limit, self.open
         self.reported_at = now
 
-    def text(self, now: float) -> str:
+    def describe(self, now: float) -> str:
         """Returns instance, load and age of the load for a log line."""
         state = "" if self.ready else "away:"
         return (
@@ -96,7 +96,7 @@
         age = max(0.0, now - self.failure_at)
         return float(self.failure * 0.5 ** (age / FAILURE_HALF_LIFE_MS))
 
-    def note(self, *, failed: bool, now: float) -> None:
+    def record_outcome(self, *, failed: bool, now: float) -> None:
         """Records whether a request failed at the target."""
         if not failed and self.failure == 0.0:
             return
@@ -170,7 +170,7 @@
         targets: Iterable[Target],
         *,
         now: float,
-        passed_over: set[str],
+        exclude: set[str],
         objective_ms: float = 0.0,
     ) -> Target | None:
         """Returns the target with the lowest cost, or None without any.
@@ -178,7 +178,7 @@
         Args:
           targets: Targets of the service that can be reached.
           now: Milliseconds of the node's clock.
-          passed_over: Instances that the request was already sent to.
+          exclude: Instances that the request was already sent to.
           objective_ms: Latency objective of the request; 0 when unknown.
         """
         best: Target | None = None
@@ -186,7 +186,7 @@
         allowed = [
             target
             for target in targets
-            if target.ready and target.instance not in passed_over
+            if target.ready and target.instance not in exclude
         ]
         known = [target.work_ms for target in allowed if target.work_ms]
         fastest_ms = min(known, default=0.0)
--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -215,7 +215,7 @@
             if bucket.admitted
         }
 
-    def hear(
+    def apply_counts(
         self,
         peer: str,
         counts: dict[str, int],
@@ -259,7 +259,7 @@
             return 1.0
         return max(0.0, 1.0 - (now - self.started_at) / max(1.0, age_ms))
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Removes the counts of a peer process that has ended."""
         self.reported.pop(peer, None)
 
@@ -277,7 +277,7 @@
         self.lag_ms = lag_ms
         self.expedited_lag_ms = expedited_lag_ms
 
-    def set_silent(self, share: float, now: float) -> None:
+    def set_silent_share(self, share: float, now: float) -> None:
         """Sets the share of the nodes that is silent, 0 to 1.
 
         The available tokens are divided as well, because at the start of a
--- a/tests/admission/test_occupancy.py
+++ b/tests/admission/test_occupancy.py
@@ -132,7 +132,7 @@
                 elapsed_ms = now - ticket.item[0]
                 late = elapsed_ms > self.OBJECTIVE_MS
                 self.ended["late" if late else "in time"] += 1
-            following = queue.next(now)
+            following = queue.start_next(now)
             if following is not None:
                 self.start(target, following, now)
 
@@ -142,7 +142,7 @@
             now = float(step)
             self.finish(now)
             for target, queue in enumerate(self.queues):
-                for ticket in queue.overdue(now):
+                for ticket in queue.remove_overdue(now):
                     self.refused(target, ticket.item, now, ticket.priority)
             for rank, rate in (
                 (0, self.CALLS_PER_MS),
--- a/tests/admission/test_pressure.py
+++ b/tests/admission/test_pressure.py
@@ -15,7 +15,7 @@
     rng = random.Random(4)
     for step in range(20_000):
         rank = rng.choices([1, 2, 3], weights=[2, 1, 7])[0]
-        shed_for = shedder.shed_by(
+        shed_for = shedder.shed_for(
             route=str(rank),
             service="deep",
             rank=rank,
@@ -100,16 +100,16 @@
     shedder = pressure.Shedder(random.Random(2))
     levels = {"deep": 0.8}
     for step in range(100):
-        shedder.note_end(
+        shedder.record_end(
             route="upload", levels=levels, failed=False, now=step * 10.0
         )
-        shedder.note_end(
+        shedder.record_end(
             route="read", levels=levels, failed=step % 4 == 0, now=step * 10.0
         )
     shed = {
         route: sum(
             bool(
-                shedder.shed_by(
+                shedder.shed_for(
                     route=route,
                     service="middle",
                     rank=3,
--- a/tests/admission/test_slots.py
+++ b/tests/admission/test_slots.py
@@ -43,7 +43,7 @@
     offer(slot_queue, "later", priority=7)
     offer(slot_queue, "sooner", priority=3)
     slot_queue.release(first, 10.0)
-    ticket = slot_queue.next(10.0)
+    ticket = slot_queue.start_next(10.0)
     assert ticket is not None
     assert ticket.item == "sooner"
 
@@ -60,8 +60,10 @@
     slot_queue = queue(1)
     offer(slot_queue, "running")
     offer(slot_queue, "waiting")
-    assert not slot_queue.overdue(400.0)
-    assert [ticket.item for ticket in slot_queue.overdue(460.0)] == ["waiting"]
+    assert not slot_queue.remove_overdue(400.0)
+    assert [ticket.item for ticket in slot_queue.remove_overdue(460.0)] == [
+        "waiting"
+    ]
     assert slot_queue.waiting == 0
 
 
@@ -72,7 +74,7 @@
     slot_queue.withdraw(second)
     slot_queue.withdraw(second)
     slot_queue.release(first, 5.0)
-    assert slot_queue.next(5.0) is None
+    assert slot_queue.start_next(5.0) is None
     assert (slot_queue.running, slot_queue.waiting) == (0, 0)
 
 
@@ -104,10 +106,10 @@
         now = float(step)
         while ends and ends[0][0] <= now:
             slot_queue.release(heapq.heappop(ends)[2], now)
-            following = slot_queue.next(now)
+            following = slot_queue.start_next(now)
             if following is not None:
                 start(following, now)
-        slot_queue.overdue(now)
+        slot_queue.remove_overdue(now)
         for kind, per_second in (("call", 160), ("root", 200)):
             if rng.random() < per_second / 1_000:
                 offered[kind] += 1
--- a/tests/call/test_attempt.py
+++ b/tests/call/test_attempt.py
@@ -23,7 +23,7 @@
     """An event may arrive after the caller has been answered."""
     outcome = attempt.Outcome.NOT_HANDED_OVER
     for event in history:
-        before, outcome = outcome, attempt.after(outcome, event)
+        before, outcome = outcome, attempt.next_outcome(outcome, event)
         if before in attempt.FINAL:
             assert outcome is before
 
@@ -40,7 +40,7 @@
                 handed = True
             if event is attempt.Event.REFUSE and handed:
                 refused = True
-        outcome = attempt.after(outcome, event)
+        outcome = attempt.next_outcome(outcome, event)
     if outcome is attempt.Outcome.NOT_EXECUTED:
         assert not handed or refused
 
@@ -53,7 +53,7 @@
 ) -> None:
     final = attempt.final_answer(list(outcomes), idempotent=False)
     not_run = all(item is attempt.Outcome.NOT_EXECUTED for item in outcomes)
-    assert (final is attempt.Final.NOT_RUN) == not_run
+    assert (final is attempt.AnswerKind.NOT_RUN) == not_run
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES)
--- a/tests/models/test_drain.py
+++ b/tests/models/test_drain.py
@@ -66,7 +66,7 @@
             self.peer_up = event == "peer back"
 
     def report(self, report: target_record.Report) -> None:
-        if not self.record.take(report, wall_ms=150.0):
+        if not self.record.apply(report, wall_ms=150.0):
             return
         last = self.record.last
         assert last is not None
@@ -87,7 +87,7 @@
         if self.store_up:
             self.record.restore(self.entry)
         if self.peer_up and self.peer_knows:
-            self.record.hear_left(self.peer_knows, READY_1.born)
+            self.record.apply_leave(self.peer_knows, READY_1.born)
 
     def believes_ready(self) -> bool:
         last = self.record.last
@@ -132,5 +132,5 @@
     ) -> bool:
         return report.sequence >= last.sequence
 
-    monkeypatch.setattr(target_record, "is_after", by_sequence)
+    monkeypatch.setattr(target_record, "supersedes", by_sequence)
     assert broken(frozenset({"store", "peer"})) is not None
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import strategies as st
 
-from currantcart.call import budget, fixed_part
+from currantcart.call import budget, slack_share
 
 RATIO = 0.2
 SLACK = 48
@@ -29,11 +29,11 @@
         self.budget = budget.RetryBudget(
             ratio=RATIO, slack=SLACK, window_ms=WINDOW_MS
         )
-        self.part = fixed_part.FixedPart(window_ms=WINDOW_MS, started_at=now)
-        self.part.note(known, now)
+        self.part = slack_share.SlackShare(window_ms=WINDOW_MS, started_at=now)
+        self.part.observe_nodes(known, now)
 
     def repeat(self, now: float, wanted: int) -> int:
-        self.part.note(self.known, now)
+        self.part.observe_nodes(self.known, now)
         share = self.part.share(now)
         taken = 0
         while taken < wanted and self.budget.take(now, share=share):
@@ -74,13 +74,13 @@
             self.requests.append(0)
             self.repeats.append(0)
             for node in self.nodes:
-                node.part.note(node.known, self.now)
+                node.part.observe_nodes(node.known, self.now)
 
     def ask(self, group: str, count: int) -> None:
         """Gives each node of a group some requests."""
         for node in self.chosen(group):
             for _ in range(count):
-                node.budget.note_request(self.now)
+                node.budget.count_request(self.now)
             self.requests[-1] += count
 
     def repeat(self, group: str, wanted: int) -> None:
--- a/tests/routing/test_picker.py
+++ b/tests/routing/test_picker.py
@@ -27,7 +27,7 @@
 def least_cost(
     chooser: picker.Picker, targets: list[picker.Target], now: float
 ) -> int:
-    chosen = chooser.choose(targets, now=now, passed_over=set())
+    chosen = chooser.choose(targets, now=now, exclude=set())
     assert chosen is not None
     return targets.index(chosen)
 
@@ -126,7 +126,7 @@
     def report(self, targets: list[picker.Target], when: float) -> None:
         def receive(now: float) -> None:
             for target, server in zip(targets, self.servers, strict=True):
-                target.hear(busy=server.busy, limit=SLOTS, now=now)
+                target.update_load(busy=server.busy, limit=SLOTS, now=now)
                 target.work_ms = server.work_ms if self.reports_speed else 0.0
             if now < END_MS:
                 self.at(now + REPORT_INTERVAL_MS, receive)
@@ -146,7 +146,7 @@
                 server.running -= 1
                 server.start(when)
                 target.open -= 1
-                target.hear(busy=server.busy, limit=SLOTS, now=when)
+                target.update_load(busy=server.busy, limit=SLOTS, now=when)
                 self.in_time += when - now <= OBJECTIVE_MS
 
             def run(when: float) -> None:
@@ -253,14 +253,14 @@
     )
     better = target("y", busy=3, work_ms=100.0)
     for order in ([better, worse], [worse, better]):
-        assert chooser.choose(order, now=1_000.0, passed_over=set()) is better
-    assert chooser.choose([worse], now=1_000.0, passed_over={"x"}) is None
+        assert chooser.choose(order, now=1_000.0, exclude=set()) is better
+    assert chooser.choose([worse], now=1_000.0, exclude={"x"}) is None
 
 
 def test_failures_decay() -> None:
     made = target("x")
     for _ in range(50):
-        made.note(failed=True, now=1_000.0)
+        made.record_outcome(failed=True, now=1_000.0)
     assert made.failure_share(1_000.0) > 0.9
     assert made.failure_share(5_000.0) < 0.25
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -34,7 +34,7 @@
 @pytest.fixture
 def routing() -> router.Router:
     built = router.Router(
-        place=router.Place("domain-0", "dar"), rng=random.Random(1)
+        locality=router.Locality("domain-0", "dar"), rng=random.Random(1)
     )
     built.update([member(n) for n in range(6)], 0.0)
     return built
@@ -89,7 +89,7 @@
     routing: router.Router,
 ) -> None:
     for number in (0, 3):
-        routing.report(
+        routing.record_report(
             routing.candidates[f"grades-{number}"],
             load=1, limit=10, shed_level=5, now=0.0,
         )  # fmt: skip
