--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -98,7 +98,7 @@
         self.guard = guard.Guard(context)
         self.inbound = inbound.Inbound(context, self.guard)
         self.outbound = outbound.Outbound(
-            context, own_guard=self.guard, quotas=self.quotas
+            context, local_guard=self.guard, quotas=self.quotas
         )
         self.callers = frontend.CallerServer(
             context,
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -24,11 +24,11 @@
         self,
         context: proxy_context.Context,
         *,
-        own_guard: guard.Guard,
+        local_guard: guard.Guard,
         handler: local_reply.AttemptHandler,
     ) -> None:
         self.context = context
-        self.guard = own_guard
+        self.guard = local_guard
         self.handler = handler
 
     # Sending.
--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -42,12 +42,12 @@
         self,
         context: proxy_context.Context,
         *,
-        own_guard: guard.Guard,
+        local_guard: guard.Guard,
         quotas: quota.Quotas,
     ) -> None:
         settings = context.settings
         self.context = context
-        self.guard = own_guard
+        self.guard = local_guard
         self.quotas = quotas
         self.peers: peers_module.Peers | None = None
         self.picker = picker.Picker(
@@ -60,7 +60,7 @@
             context, pressure_on=self.pressure_on
         )
         self.attempts = attempts.Attempts(
-            context, own_guard=own_guard, handler=self
+            context, local_guard=local_guard, handler=self
         )
         self.pending = pending.PendingRequests(context, dispatch=self.dispatch)
         self.retries = retries_module.Retries(
