--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -141,7 +141,7 @@
       fetches: Whether the peer fetches a configuration that it lacks.
       sent_version: Newest configuration version that was sent on it.
       ready: Whether the offset of the peer's clock is known.
-      heard_at: When data was last received.
+      received_at: When data was last received.
       echoed_at: When the newest status was sent that the peer has echoed.
       asked_at: When the unanswered probe was sent; 0 without one.
       logged_unresponsive: Whether the peer was last logged as unresponsive.
@@ -164,7 +164,7 @@
         self.peer: frames.Member | None = None
         self.peer_started_at = float("-inf")
         self.ready = False
-        self.heard_at = context.now
+        self.received_at = context.now
         self.calls: dict[int, object] = {}
         self.numbers = itertools.count(1)
         self.clock = PeerClock()
@@ -229,7 +229,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Handles received frames; an invalid one closes this stream only."""
-        self.heard_at = self.context.now
+        self.received_at = self.context.now
         self.asked_at = 0.0
         try:
             for frame in self.reader.feed(data):
@@ -323,7 +323,7 @@
         return (
             bool(self.calls)
             and not self.asked_at
-            and now - self.heard_at > PROBE_AFTER_MS
+            and now - self.received_at > PROBE_AFTER_MS
         )
 
     def is_unresponsive(self, now: float) -> bool:
@@ -339,7 +339,7 @@
             "peer_quiet" if self.logged_unresponsive else "peer_heard_again",
             peer=self.peer.instance if self.peer else "",
             calls=len(self.calls),
-            silent_ms=round(now - self.heard_at),
+            silent_ms=round(now - self.received_at),
         )
 
     def usable(self, now: float) -> bool:
@@ -353,14 +353,14 @@
         return (
             self.ready
             and self.transport is not None
-            and now - self.heard_at < limit
+            and now - self.received_at < limit
             and now - self.echoed_at < limit + self.context.status_interval_ms
         )
 
     def check(self, now: float) -> None:
         """Closes the stream if it is silent or a probe has timed out."""
         pace = self.context.status_interval_ms
-        silent = now - self.heard_at > silent_ms(pace)
+        silent = now - self.received_at > silent_ms(pace)
         unanswered = bool(
             self.asked_at
         ) and now - self.asked_at > probe_timeout_ms(pace)
@@ -381,7 +381,7 @@
             dialled=self.dialled,
             reason=reason,
             calls=len(self.calls),
-            silent_ms=round(self.context.now - self.heard_at),
+            silent_ms=round(self.context.now - self.received_at),
         )
         self.owner.link_lost(self)
 
--- a/src/currantcart/proxy/streams/peer.py
+++ b/src/currantcart/proxy/streams/peer.py
@@ -28,7 +28,7 @@
       incoming: Stream on which it opens calls to this node.
       dialling: Task that opens the outgoing stream, while it runs.
       dial_after: Earliest time to open the outgoing stream again.
-      heard_at: When its introduction or a status was last received; at first,
+      received_at: When its introduction or last status was received; at first,
         when it was discovered.
       has_reported: Whether its process has sent a status.
       version: Configuration version that it serves.
@@ -42,7 +42,7 @@
     incoming: link.Link | None = None
     dialling: asyncio.Task[None] | None = None
     dial_after: float = 0.0
-    heard_at: float = 0.0
+    received_at: float = 0.0
     has_reported: bool = False
     version: int = 0
     started_at: float = float("-inf")
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -103,7 +103,7 @@
         if peer is not None:
             self.drop(peer, "started_anew")
         target = peer_module.target_of(member)
-        peer = peer_module.Peer(member, target, heard_at=self.context.now)
+        peer = peer_module.Peer(member, target, received_at=self.context.now)
         self.by_instance[member.instance] = peer
         self.by_service.setdefault(member.service, []).append(target)
         self.context.log.event(
@@ -183,13 +183,13 @@
                 self.add_member(member)
         now = self.context.now
         for peer in list(self.by_instance.values()):
-            gone = now - peer.heard_at > DROP_MS and not self.is_alive(peer)
+            gone = now - peer.received_at > DROP_MS and not self.is_alive(peer)
             if gone and peer.member.instance not in listed:
                 self.drop(peer, "not_named_and_silent")
 
     def is_alive(self, peer: peer_module.Peer) -> bool:
         """Returns whether a peer is not silent."""
-        silence = self.context.now - peer.heard_at
+        silence = self.context.now - peer.received_at
         return silence < link.silent_ms(self.context.status_interval_ms)
 
     def rank(self) -> int:
@@ -256,7 +256,7 @@
         if peer is None:
             item.abort("own_address")
             return
-        peer.heard_at = self.context.now
+        peer.received_at = self.context.now
         peer.started_at = item.peer_started_at
         if item.dialled:
             self.drop_predecessors(peer, item)
@@ -297,7 +297,7 @@
         peer = self.peer_of(item)
         if peer is None:
             return
-        peer.heard_at = self.context.now
+        peer.received_at = self.context.now
         peer.has_reported = True
         peer.version = status.version
         self.update_target(peer.target, status.target)
--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -116,14 +116,14 @@
             domains.setdefault(peer.member.failure_domain, []).append(peer)
             name = peer.member.process
             probe = processes[name] = self.processes.get(name) or Probe()
-            if probe.tick(late=now - peer.heard_at > limit, asking=asking):
+            if probe.tick(late=now - peer.received_at > limit, asking=asking):
                 self.probe([peer])
         self.processes = processes
         self.domains = {
             name: self.domains.get(name) or Probe() for name in domains
         }
         for name, peers in domains.items():
-            silence = now - max(peer.heard_at for peer in peers)
+            silence = now - max(peer.received_at for peer in peers)
             late = silence > LATE_MS
             if self.domains[name].tick(late=late, asking=asking):
                 self.probe(peers)
@@ -151,7 +151,7 @@
             self.context.status_interval_ms
         )
         silent = sum(
-            peer.heard_at < oldest or self.missed_probe(peer)
+            peer.received_at < oldest or self.missed_probe(peer)
             for peer in live_peers
         )
         return silent / (len(live_peers) + 1)
--- a/tests/proxy/requests/test_outcomes.py
+++ b/tests/proxy/requests/test_outcomes.py
@@ -246,7 +246,7 @@
     for _ in range(5):
         await mesh.settle(0.3)
         assert peer.outgoing is not None
-        peer.outgoing.heard_at = link.heard_at = mesh.clock.now()
+        peer.outgoing.received_at = link.received_at = mesh.clock.now()
     assert front.node.peers.link_to("b") is None
     reply = await mesh.ask(front, fake_mesh.request())
     assert reply.status == 200
--- a/tests/proxy/streams/test_silence.py
+++ b/tests/proxy/streams/test_silence.py
@@ -26,7 +26,7 @@
 def paused(place: fake_mesh.Place) -> silence.SilenceDetector:
     """Makes a node's last received frames older; returns its detector."""
     for peer in place.node.peers.by_instance.values():
-        peer.heard_at -= 400.0
+        peer.received_at -= 400.0
     return place.node.silence
 
 
