--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -143,7 +143,7 @@
       ready: Whether the offset of the peer's clock is known.
       received_at: When data was last received.
       echoed_at: When the newest status was sent that the peer has echoed.
-      asked_at: When the unanswered probe was sent; 0 without one.
+      probed_at: When the unanswered probe was sent; 0 without one.
       logged_unresponsive: Whether the peer was last logged as unresponsive.
       status_now: Peer's clock in its last `Hello` or status.
       status_at: When that frame was received.
@@ -171,7 +171,7 @@
         self.status_now = 0.0
         self.status_at = 0.0
         self.echoed_at = 0.0
-        self.asked_at = 0.0
+        self.probed_at = 0.0
         self.logged_unresponsive = False
         self.published_counts: dict[str, int] = {}
         self.sent_version = 0
@@ -230,7 +230,7 @@
     def data_received(self, data: bytes) -> None:
         """Handles received frames; an invalid one closes this stream only."""
         self.received_at = self.context.now
-        self.asked_at = 0.0
+        self.probed_at = 0.0
         try:
             for frame in self.reader.feed(data):
                 self.receive(frame)
@@ -311,8 +311,8 @@
         The side that was dialled answers each status at once.
         """
         self.send(status)
-        if self.dialled and not self.asked_at:
-            self.asked_at = self.context.now
+        if self.dialled and not self.probed_at:
+            self.probed_at = self.context.now
 
     def is_probe_due(self, now: float) -> bool:
         """Returns whether the peer is due to be probed.
@@ -322,13 +322,13 @@
         """
         return (
             bool(self.calls)
-            and not self.asked_at
+            and not self.probed_at
             and now - self.received_at > PROBE_AFTER_MS
         )
 
     def is_unresponsive(self, now: float) -> bool:
         """Returns whether a probe was not answered within `UNRESPONSIVE_MS`."""
-        return bool(self.asked_at) and now - self.asked_at > UNRESPONSIVE_MS
+        return bool(self.probed_at) and now - self.probed_at > UNRESPONSIVE_MS
 
     def log_unresponsive(self, now: float) -> None:
         """Logs when the peer becomes unresponsive, and when it recovers."""
@@ -362,8 +362,8 @@
         pace = self.context.status_interval_ms
         silent = now - self.received_at > silent_ms(pace)
         unanswered = bool(
-            self.asked_at
-        ) and now - self.asked_at > probe_timeout_ms(pace)
+            self.probed_at
+        ) and now - self.probed_at > probe_timeout_ms(pace)
         if self.transport is not None and (silent or unanswered):
             self.abort("silent")
 
--- a/tests/proxy/requests/test_outcomes.py
+++ b/tests/proxy/requests/test_outcomes.py
@@ -337,7 +337,7 @@
     await mesh.settle()
     found = front.node.peers.link_to("b")
     assert found is not None
-    found.asked_at = mesh.clock.now() - 300.0
+    found.probed_at = mesh.clock.now() - 300.0
     assert found.is_unresponsive(mesh.clock.now())
     front.node.peers.reachability.invalidate()
     reached = front.node.peers.reachability.reachable("grades")
--- a/tests/proxy/streams/test_link.py
+++ b/tests/proxy/streams/test_link.py
@@ -27,7 +27,7 @@
     """Calls to a lost node would hang until three more statuses were due."""
     item = await stream(mesh)
     now = item.context.now
-    item.received_at = item.asked_at = now - 2_300.0
+    item.received_at = item.probed_at = now - 2_300.0
     item.check(now)
     assert item.transport is None
 
@@ -38,7 +38,7 @@
 ) -> None:
     item = await stream(mesh)
     item.received_at = item.context.now - heard_ago
-    item.asked_at = asked
+    item.probed_at = asked
     item.check(item.context.now)
     assert item.transport is not None
 
