--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -329,7 +329,7 @@
         self.feed.tick()
         self.outbound.retries.record_fleet_size()
         now = self.context.now
-        self.silence.tick(asking=bool(self.quotas.expedited()))
+        self.silence.tick(probing=bool(self.quotas.expedited()))
         self.quotas.set_silent_share(self.silence.share(), now)
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -46,18 +46,18 @@
         """Whether the probe was not answered in time."""
         return self.ticks > ANSWER_TICKS
 
-    def tick(self, *, late: bool, asking: bool) -> bool:
+    def tick(self, *, late: bool, probing: bool) -> bool:
         """Counts a tick; returns whether to probe now.
 
         Args:
           late: Whether the peer or domain has been silent for too long.
-          asking: Whether probes may be started.
+          probing: Whether probes may be started.
         """
         if not late:
             self.ticks = 0
         elif self.ticks:
             self.ticks += 1
-        elif asking:
+        elif probing:
             self.ticks = 1
             return True
         return False
@@ -99,13 +99,13 @@
         """
         return [peer for peer in self.peers() if not peer.ended]
 
-    def tick(self, *, asking: bool) -> None:
+    def tick(self, *, probing: bool) -> None:
         """Updates the state of all probes, and sends those that are due.
 
         Args:
-          asking: Whether silent peers are to be probed.
+          probing: Whether silent peers are to be probed.
         """
-        if not asking and not self.domains:
+        if not probing and not self.domains:
             return
         now, limit = self.context.now, late_ms(self.context.status_interval_ms)
         domains: dict[str, list[peer_module.Peer]] = {}
@@ -116,7 +116,7 @@
             domains.setdefault(peer.member.failure_domain, []).append(peer)
             name = peer.member.process
             probe = processes[name] = self.processes.get(name) or Probe()
-            if probe.tick(late=now - peer.received_at > limit, asking=asking):
+            if probe.tick(late=now - peer.received_at > limit, probing=probing):
                 self.probe([peer])
         self.processes = processes
         self.domains = {
@@ -125,9 +125,9 @@
         for name, peers in domains.items():
             silence = now - max(peer.received_at for peer in peers)
             late = silence > LATE_MS
-            if self.domains[name].tick(late=late, asking=asking):
+            if self.domains[name].tick(late=late, probing=probing):
                 self.probe(peers)
-        if not asking and not self.is_probing():
+        if not probing and not self.is_probing():
             self.domains, self.processes = {}, {}
 
     def is_probing(self) -> bool:
--- a/tests/proxy/streams/test_silence.py
+++ b/tests/proxy/streams/test_silence.py
@@ -74,9 +74,9 @@
     """After a pause of its own process, all peers appear silent to a node."""
     detector = paused((await at_limit(mesh))[0])
     for _ in range(silence.ANSWER_TICKS):
-        detector.tick(asking=True)
+        detector.tick(probing=True)
         assert detector.share() == 0.0
-    detector.tick(asking=True)
+    detector.tick(probing=True)
     assert detector.share() > 0.9
 
 
@@ -85,7 +85,7 @@
 ) -> None:
     detector = paused((await at_limit(mesh))[0])
     for _ in range(10):
-        detector.tick(asking=False)
+        detector.tick(probing=False)
     assert detector.share() == 0.0
 
 
