--- a/src/currantcart/proxy/streams/publisher.py
+++ b/src/currantcart/proxy/streams/publisher.py
@@ -20,7 +20,7 @@
 """
 
 
-def status_pace_ms(peers: int) -> float:
+def status_interval_ms(peers: int) -> float:
     """Returns the time between two statuses of a node with so many peers."""
     return STATUS_MS + STATUS_MS_PER_PEER * max(0, peers - SMALL_FLEET)
 
@@ -73,7 +73,7 @@
     def tick(self, now: float) -> None:
         """Sends the status and the expedited counts if they are due."""
         count = self.peer_count()
-        self.context.status_interval_ms = status_pace_ms(count)
+        self.context.status_interval_ms = status_interval_ms(count)
         if now - self.published_at >= self.context.status_interval_ms:
             self.publish()
         if now - self.expedited_at >= counts_pace_ms(count):
--- a/tests/proxy/streams/test_link.py
+++ b/tests/proxy/streams/test_link.py
@@ -7,7 +7,7 @@
 from currantcart.proxy.streams import link, publisher
 from tests.fakes import mesh as fake_mesh
 
-PACE_MS = publisher.status_pace_ms(194)
+PACE_MS = publisher.status_interval_ms(194)
 
 
 async def stream(mesh: fake_mesh.Mesh) -> link.Link:
@@ -45,5 +45,5 @@
 
 @pytest.mark.parametrize("nodes", [12, 91, 195, 980])
 def test_the_probe_time_out_is_longer_than_the_status_pace(nodes: int) -> None:
-    pace = publisher.status_pace_ms(nodes - 1)
+    pace = publisher.status_interval_ms(nodes - 1)
     assert pace < link.probe_timeout_ms(pace) <= link.silent_ms(pace)
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -248,7 +248,7 @@
     """
     fleet = Fleet(nodes)
     fleet.isolated = set(range(round(0.3 * nodes)))
-    pace = publisher.status_pace_ms(nodes - 1)
+    pace = publisher.status_interval_ms(nodes - 1)
     answered_ms = (silence.ANSWER_TICKS + 2) * node_module.TICK_MS
     fleet.noticed_ms = (
         silence.LATE_MS + answered_ms,
