--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -336,7 +336,7 @@
             nodes=peer_count + 1,
             lag_ms=dissemination_lag_ms(self.context.status_interval_ms),
             expedited_lag_ms=dissemination_lag_ms(
-                publisher.counts_pace_ms(peer_count)
+                publisher.counts_interval_ms(peer_count)
             ),
         )
         if self.ticks % SWEEP_TICKS == 0:
--- a/src/currantcart/proxy/streams/publisher.py
+++ b/src/currantcart/proxy/streams/publisher.py
@@ -25,7 +25,7 @@
     return STATUS_MS + STATUS_MS_PER_PEER * max(0, peers - SMALL_FLEET)
 
 
-def counts_pace_ms(peers: int) -> float:
+def counts_interval_ms(peers: int) -> float:
     """Returns the time between two updates of expedited counts."""
     return COUNTS_MS + COUNTS_MS_PER_PEER * peers
 
@@ -76,7 +76,7 @@
         self.context.status_interval_ms = status_interval_ms(count)
         if now - self.published_at >= self.context.status_interval_ms:
             self.publish()
-        if now - self.expedited_at >= counts_pace_ms(count):
+        if now - self.expedited_at >= counts_interval_ms(count):
             self.expedited_at = now
             self.publish_counts(self.expedited())
 
--- a/tests/workspace/test_publisher.py
+++ b/tests/workspace/test_publisher.py
@@ -28,7 +28,7 @@
     def __init__(self, count: int, *, rate: float, started: bool) -> None:
         peers = count - 1
         self.status_pace = int(publisher.status_interval_ms(peers))
-        expedited = publisher.counts_pace_ms(peers)
+        expedited = publisher.counts_interval_ms(peers)
         lag_ms = node_module.dissemination_lag_ms(self.status_pace)
         expedited_lag_ms = node_module.dissemination_lag_ms(expedited)
         self.expedited_pace = int(expedited_lag_ms - node_module.TRANSIT_MS)
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -169,7 +169,7 @@
 
 def test_the_pace_of_expedited_counts_keeps_a_rate_at_ninety_nodes() -> None:
     fleet = Fleet(90)
-    pace = publisher.counts_pace_ms(90)
+    pace = publisher.counts_interval_ms(90)
     simulate(fleet, per_second=1_500, reported_ms=round(pace))
     assert fleet.most_in_a_window() <= ALLOWED
 
@@ -254,7 +254,7 @@
         silence.LATE_MS + answered_ms,
         silence.late_ms(pace) + answered_ms,
     )
-    counts_ms = publisher.counts_pace_ms(nodes - 1)
+    counts_ms = publisher.counts_interval_ms(nodes - 1)
     simulate(
         fleet,
         per_second=per_second,
