--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -1,8 +1,8 @@
 """Streams between nodes: liveness, clock offsets and the calls on them.
 
 The node that dials opens calls; the other one answers them. Both sides send
-their status at a steady pace, so either side detects a silent stream without
-waiting for the kernel, which would take minutes.
+their status at regular intervals, so either side detects a silent stream
+without waiting for the kernel, which would take minutes.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 PROTOCOL = 1
 SUSPECT_MS = 900.0
-SUSPECT_PACES = 2.0
+SUSPECT_INTERVALS = 2.0
 """Silence after which no new call is opened on a stream.
 
 Two statuses may be late on a link that loses packets. The limit grows with
-the pace: large fleets send statuses less often, and with a fixed limit a
-stream would become suspect between any two of them.
+the status interval: under a fixed limit the streams of a large fleet, which
+sends statuses less often, would become suspect between any two of them.
 """
 SILENT_MS = 1_600.0
-SILENT_PACES = 3.5
+SILENT_INTERVALS = 3.5
 """Silence after which a stream is closed."""
-PROBE_TIMEOUT_PACES = 1.5
+PROBE_TIMEOUT_INTERVALS = 1.5
 """Time after which a stream with an unanswered probe is closed."""
 PROBE_AFTER_MS = 120.0
 """Silence after which the peer of a stream with calls on it is probed."""
@@ -48,19 +48,19 @@
 WRITE_BYTES_MAX = 8 * 1024 * 1024
 
 
-def suspect_ms(pace_ms: float) -> float:
+def suspect_ms(interval_ms: float) -> float:
     """Returns the silence after which a stream gets no new calls."""
-    return max(SUSPECT_MS, SUSPECT_PACES * pace_ms)
+    return max(SUSPECT_MS, SUSPECT_INTERVALS * interval_ms)
 
 
-def silent_ms(pace_ms: float) -> float:
+def silent_ms(interval_ms: float) -> float:
     """Returns the silence after which a stream is closed."""
-    return max(SILENT_MS, SILENT_PACES * pace_ms)
+    return max(SILENT_MS, SILENT_INTERVALS * interval_ms)
 
 
-def probe_timeout_ms(pace_ms: float) -> float:
+def probe_timeout_ms(interval_ms: float) -> float:
     """Returns the time after which an unanswered probe closes a stream."""
-    return max(SILENT_MS, PROBE_TIMEOUT_PACES * pace_ms)
+    return max(SILENT_MS, PROBE_TIMEOUT_INTERVALS * interval_ms)
 
 
 class LinkOwner(Protocol):
@@ -359,11 +359,11 @@
 
     def check(self, now: float) -> None:
         """Closes the stream if it is silent or a probe has timed out."""
-        pace = self.context.status_interval_ms
-        silent = now - self.received_at > silent_ms(pace)
+        interval_ms = self.context.status_interval_ms
+        silent = now - self.received_at > silent_ms(interval_ms)
         unanswered = bool(
             self.probed_at
-        ) and now - self.probed_at > probe_timeout_ms(pace)
+        ) and now - self.probed_at > probe_timeout_ms(interval_ms)
         if self.transport is not None and (silent or unanswered):
             self.abort("silent")
 
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -31,7 +31,7 @@
       reachability: Targets that can be reached, and their pressure.
       leaving_targets: Id and start time of targets that were reported as
         leaving, by instance.
-      publisher: Sends this node's state at its pace.
+      publisher: Sends this node's status periodically.
     """
 
     def __init__(
@@ -303,8 +303,8 @@
         self.update_target(peer.target, status.target)
         self.on_status(peer, item, status)
         if not item.dialled:
-            # The dialler sets the pace. Its status is answered at once, from
-            # which both sides measure the round-trip time.
+            # The dialler sets the interval: its status is answered at once, and
+            # both sides measure the round-trip time by it.
             item.send(self.status(item))
 
     def update_target(
--- a/src/currantcart/proxy/streams/publisher.py
+++ b/src/currantcart/proxy/streams/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a node's status and counts to its peers, at a bounded pace."""
+"""Publishes a node's status and counts to its peers, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 STATUS_MS = 400.0
 STATUS_MS_PER_PEER = 6.0
-"""Added to the pace per peer beyond `SMALL_FLEET`, to bound a node's cost."""
+"""Added to the interval per peer beyond `SMALL_FLEET`; bounds a node's cost."""
 SMALL_FLEET = 12
 COUNTS_MS = 45.0
 COUNTS_MS_PER_PEER = 0.5
--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -15,7 +15,7 @@
 from currantcart.proxy.streams import frames, link
 from currantcart.proxy.streams import peer as peer_module
 
-LATE_PACES = 0.6
+LATE_INTERVALS = 0.6
 LATE_MS = 150.0
 """Silence after which a failure domain is probed; the least for one peer."""
 ANSWER_TICKS = 3
@@ -26,9 +26,9 @@
 PROBED_PEERS = 3
 
 
-def late_ms(pace_ms: float) -> float:
+def late_ms(interval_ms: float) -> float:
     """Returns the silence after which a single peer is probed."""
-    return max(LATE_MS, LATE_PACES * pace_ms)
+    return max(LATE_MS, LATE_INTERVALS * interval_ms)
 
 
 @dataclasses.dataclass(slots=True)
--- a/tests/proxy/streams/test_link.py
+++ b/tests/proxy/streams/test_link.py
@@ -11,7 +11,7 @@
 
 
 async def stream(mesh: fake_mesh.Mesh) -> link.Link:
-    """Returns a stream of a node that has the status pace of a large fleet."""
+    """Returns a stream with the status interval of a large fleet."""
     place = await mesh.add("a")
     await mesh.add("b")
     await mesh.settle()
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("heard_ago", "asked"), [(2_300.0, 0.0), (50.0, 0.0)])
-async def test_a_stream_without_a_probe_is_kept_for_the_pace(
+async def test_a_stream_without_a_probe_is_kept_for_the_interval(
     mesh: fake_mesh.Mesh, heard_ago: float, asked: float
 ) -> None:
     item = await stream(mesh)
@@ -44,6 +44,8 @@
 
 
 @pytest.mark.parametrize("nodes", [12, 91, 195, 980])
-def test_the_probe_time_out_is_longer_than_the_status_pace(nodes: int) -> None:
-    pace = publisher.status_interval_ms(nodes - 1)
-    assert pace < link.probe_timeout_ms(pace) <= link.silent_ms(pace)
+def test_the_probe_time_out_is_longer_than_the_interval(nodes: int) -> None:
+    interval = publisher.status_interval_ms(nodes - 1)
+    assert (
+        interval < link.probe_timeout_ms(interval) <= link.silent_ms(interval)
+    )
--- a/tests/proxy/streams/test_silence.py
+++ b/tests/proxy/streams/test_silence.py
@@ -93,5 +93,5 @@
 def test_a_single_peer_is_probed_before_its_stream_is_suspect(
     nodes: int,
 ) -> None:
-    pace = publisher.status_interval_ms(nodes - 1)
-    assert silence.late_ms(pace) + 200 < link.suspect_ms(pace) / 1.5
+    interval = publisher.status_interval_ms(nodes - 1)
+    assert silence.late_ms(interval) + 200 < link.suspect_ms(interval) / 1.5
