--- a/src/currantcart/proxy/requests/outbound.py
+++ b/src/currantcart/proxy/requests/outbound.py
@@ -136,7 +136,7 @@
         """Sends a request to the best target, holds it, or ends it."""
         assert self.peers is not None
         now = self.context.now
-        if call.service == self.peers.own.service:
+        if call.service == self.peers.local_target.service:
             self.refresh_local_target()
         targets = self.peers.reachability.candidates(call.service)
         chosen = self.picker.choose(
@@ -150,7 +150,7 @@
                 self.give_up(call)
             return
         self.attempts.begin(call, chosen)
-        if chosen is self.peers.own:
+        if chosen is self.peers.local_target:
             self.attempts.hand_to_local(call, now)
             return
         peer_link = self.peers.link_to(chosen.instance)
@@ -165,7 +165,7 @@
     def refresh_local_target(self) -> None:
         """Updates the local target's routing state from the local guard."""
         assert self.peers is not None
-        self.peers.update_target(self.peers.own, self.guard.state())
+        self.peers.update_target(self.peers.local_target, self.guard.state())
 
     # Results.
 
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -26,7 +26,7 @@
       by_instance: Peers by instance.
       by_service: Targets of each service, including the local one.
       members_listed: Whether the store has once listed all nodes.
-      own: The local target, as the router sees it.
+      local_target: This node's target, as the router sees it.
       accepted: Streams that were dialled by peers.
       reachability: Targets that can be reached, and their pressure.
       leaving_targets: Id and start time of targets that were reported as
@@ -65,17 +65,17 @@
             service=settings.service,
             failure_domain=settings.failure_domain,
         )
-        self.own = peer_module.target_of(self.member)
+        self.local_target = peer_module.target_of(self.member)
         self.by_instance: dict[str, peer_module.Peer] = {}
         self.by_service: dict[str, list[picker.Target]] = {
-            settings.service: [self.own]
+            settings.service: [self.local_target]
         }
         self.members_listed = False
         self.accepted: set[link.Link] = set()
         self.leaving_targets: dict[str, tuple[str, int]] = {}
         self.reachability = reachability.Reachability(
             context,
-            own=self.own,
+            local_target=self.local_target,
             by_service=self.by_service,
             link_to=self.link_to,
         )
--- a/src/currantcart/proxy/streams/reachability.py
+++ b/src/currantcart/proxy/streams/reachability.py
@@ -31,7 +31,7 @@
     """Targets that one node can reach, and their pressure.
 
     Attributes:
-      own: The local target.
+      local_target: This node's target.
       by_service: All known targets by service; updated by its creator.
       link_to: Returns the stream for calls to a peer; None if none is usable.
       pressure_cache: Time and result of `pressure_on`, by service.
@@ -42,12 +42,12 @@
         self,
         context: proxy_context.Context,
         *,
-        own: picker.Target,
+        local_target: picker.Target,
         by_service: dict[str, list[picker.Target]],
         link_to: Callable[[str], link.Link | None],
     ) -> None:
         self.context = context
-        self.own = own
+        self.local_target = local_target
         self.by_service = by_service
         self.link_to = link_to
         self.pressure_cache: dict[str, tuple[float, pressure.Pressure]] = {}
@@ -72,7 +72,7 @@
         found: list[picker.Target] = []
         unresponsive: list[picker.Target] = []
         for target in self.by_service.get(service, ()):
-            if target is self.own:
+            if target is self.local_target:
                 found.append(target)
             elif target.ready and (outgoing := self.link_to(target.instance)):
                 (
@@ -92,14 +92,18 @@
         found = self.reachable(service)
         if len(found) <= CANDIDATES_ALL:
             return found
-        domain = self.own.failure_domain
+        domain = self.local_target.failure_domain
         near = [item for item in found if item.failure_domain == domain]
         far = [item for item in found if item.failure_domain != domain]
         rng = self.context.rng
         return (
             rng.sample(near, min(len(near), CANDIDATES_NEAR))
             + rng.sample(far, min(len(far), CANDIDATES_FAR))
-            + ([self.own] if service == self.own.service else [])
+            + (
+                [self.local_target]
+                if service == self.local_target.service
+                else []
+            )
         )
 
     def pressure_on(self, service: str) -> pressure.Pressure:
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -121,7 +121,7 @@
     first = await mesh.connect(front)
     first.send(fake_mesh.request(request_id="first"))
     await mesh.settle(0.1)
-    front.node.peers.own.busy = 0
+    front.node.peers.local_target.busy = 0
     second = await mesh.connect(front)
     second.send(fake_mesh.request(request_id="second"))
     await mesh.settle(0.3)
