--- a/src/currantcart/proxy/streams/frames.py
+++ b/src/currantcart/proxy/streams/frames.py
@@ -148,7 +148,7 @@
       head: End-to-end header lines, each ending with CR LF.
       body: First part of the body.
       more: Bytes of the body that follow in `Data`.
-      repeated: Whether it is a retry, or a call made by a retry.
+      from_retry: Whether it is a retry, or a call made by a retry.
       age_ms: How long its caller had waited when it was sent.
     """
 
@@ -164,7 +164,7 @@
     head: bytes
     body: bytes
     more: int
-    repeated: bool = False
+    from_retry: bool = False
     age_ms: float = 0.0
 
 
