--- a/src/currantcart/call/lineage.py
+++ b/src/currantcart/call/lineage.py
@@ -20,11 +20,11 @@
 
     Attributes:
       rank: Rank of the root request; 0 is the most urgent, None is unknown.
-      repeated: Whether the request, or one above it, is a retry.
+      is_retry: Whether the request, or one above it, is a retry.
     """
 
     rank: int | None = None
-    repeated: bool = False
+    is_retry: bool = False
 
 
 UNKNOWN = Lineage()
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -66,7 +66,7 @@
             body=request.body,
             more=0,
             age_ms=now - request.head_received_at,
-            from_retry=call.lineage.repeated or call.handed_to_targets > 0,
+            from_retry=call.lineage.is_retry or call.handed_to_targets > 0,
         )
 
     def hand_to_local(self, call: call_module.Call, now: float) -> None:
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -117,7 +117,7 @@
         A call made by a retried request counts as a retry itself, and is sent
         only if the retry budget of its service allows it.
         """
-        if call.lineage.repeated:
+        if call.lineage.is_retry:
             return self.spend_budget(call, CALLED_BY_RETRY)
         self.budget_of(call.service).count_request(self.context.now)
         self.context.counts.add("budgeted_requests", call.service)
--- a/src/currantcart/proxy/targets/job.py
+++ b/src/currantcart/proxy/targets/job.py
@@ -62,7 +62,7 @@
         """Returns the lineage of the calls that the target makes for it."""
         return lineage.Lineage(
             rank=slots.root_rank(self.opening.priority),
-            repeated=self.opening.from_retry,
+            is_retry=self.opening.from_retry,
         )
 
 
--- a/tests/proxy/requests/test_chains.py
+++ b/tests/proxy/requests/test_chains.py
@@ -78,7 +78,7 @@
     """Guards against calls made by a retry that count as first requests."""
     far = await mesh.repeated_run("9c4")
     call = await start_call(mesh, far, "9c4.7b4")
-    assert call.lineage.repeated
+    assert call.lineage.is_retry
     kept = far.node.outbound.retries.budgets["grades"]
     now = far.node.context.now
     assert kept.requests_in_window(now) == 0
