--- a/src/currantcart/call/active.py
+++ b/src/currantcart/call/active.py
@@ -43,7 +43,7 @@
     shed_level: int = graph_model.NO_SHEDDING
     cancels: set[Callable[[], object]] = dataclasses.field(default_factory=set)
 
-    def note_shedding(self, level: int) -> None:
+    def record_shedding(self, level: int) -> None:
         """Records that a call below was shed, to report it upstream."""
         self.shed_level = max(self.shed_level, level)
 
--- a/src/currantcart/node/ingress.py
+++ b/src/currantcart/node/ingress.py
@@ -103,7 +103,7 @@
             level = self.context.throttle.level(call.service, now)
             if call.parent is not None:
                 # The level is sent upstream with the answer of the parent.
-                call.parent.note_shedding(max(level, call.priority))
+                call.parent.record_shedding(max(level, call.priority))
             raise errors.Refusal(
                 errors.Code.OVERLOADED,
                 errors.Step.ADMIT,
--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -106,4 +106,4 @@
         now=context.clock.now(),
     )
     if call.parent is not None and not accepted:
-        call.parent.note_shedding(max(shed_level, call.priority))
+        call.parent.record_shedding(max(shed_level, call.priority))
