--- a/src/currantcart/call/budget.py
+++ b/src/currantcart/call/budget.py
@@ -112,7 +112,7 @@
             counted += requests.get(start - BUCKETS, 0)
         return max(0.0, least)
 
-    def standing(self, now: float, *, share: float) -> Usage:
+    def usage(self, now: float, *, share: float) -> Usage:
         """Returns the usage of the budget now.
 
         Args:
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -81,7 +81,7 @@
         """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
-            service: retry_budget.standing(now, share=share)
+            service: retry_budget.usage(now, share=share)
             for service, retry_budget in self.budgets.items()
         }
 
@@ -141,7 +141,7 @@
           cause: Why it is a retry, for metrics and log.
         """
         retry_budget, share = self.budget_of(call.service), self.share()
-        standing = retry_budget.standing(self.context.now, share=share)
+        standing = retry_budget.usage(self.context.now, share=share)
         taken = retry_budget.spend(self.context.now, left=standing.left)
         name = "repeats" if taken else "repeats_refused"
         self.context.counts.add(name, call.service, cause)
