--- a/src/currantcart/admission/throttle.py
+++ b/src/currantcart/admission/throttle.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stream:
+class TrafficClass:
     """Calls that are throttled together."""
 
     service: str
@@ -79,7 +79,7 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
-        self.tallies: dict[Stream, Tally] = {}
+        self.tallies: dict[TrafficClass, Tally] = {}
         self.levels: dict[str, ShedLevel] = {}
 
     def level(self, service: str, now: float) -> int:
@@ -89,7 +89,7 @@
             return graph_model.NO_SHEDDING
         return level.priority
 
-    def tally(self, stream: Stream, now: float) -> Tally:
+    def tally(self, stream: TrafficClass, now: float) -> Tally:
         """Returns the tally of a stream, advanced to the current time."""
         tally = self.tallies.get(stream)
         if tally is None:
@@ -107,7 +107,7 @@
             if now - tally.started_ms < IDLE_MS
         }
 
-    def admit(self, stream: Stream, now: float) -> bool:
+    def admit(self, stream: TrafficClass, now: float) -> bool:
         """Returns whether a call is admitted, counting it as a request."""
         tally = self.tally(stream, now)
         tally.requests += 1
@@ -116,7 +116,12 @@
         return self.rng.random() >= tally.refuse_share()
 
     def answered(
-        self, stream: Stream, *, accepted: bool, shed_level: int, now: float
+        self,
+        stream: TrafficClass,
+        *,
+        accepted: bool,
+        shed_level: int,
+        now: float,
     ) -> None:
         """Records the outcome of a call and the shedding level it returned.
 
--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -27,9 +27,9 @@
 )
 
 
-def stream_of(call: call_model.Call) -> throttle.Stream:
+def stream_of(call: call_model.Call) -> throttle.TrafficClass:
     """Returns the throttle's key for a call."""
-    return throttle.Stream(call.service, call.workspace, call.priority)
+    return throttle.TrafficClass(call.service, call.workspace, call.priority)
 
 
 def record(
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -8,8 +8,8 @@
 
 from currantcart.admission import throttle
 
-BROWSE = throttle.Stream("permits", "mill", 0)
-PAY = throttle.Stream("permits", "mill", 24)
+BROWSE = throttle.TrafficClass("permits", "mill", 0)
+PAY = throttle.TrafficClass("permits", "mill", 24)
 
 
 @pytest.fixture
@@ -51,5 +51,5 @@
 
 def test_idle_streams_are_evicted(ingress: throttle.IngressThrottle) -> None:
     for number in range(throttle.TALLIES_BEFORE_EVICTION + 1):
-        ingress.admit(throttle.Stream("s", str(number), 0), number * 20.0)
+        ingress.admit(throttle.TrafficClass("s", str(number), 0), number * 20.0)
     assert len(ingress.tallies) < throttle.TALLIES_BEFORE_EVICTION
