--- a/src/currantcart/admission/throttle.py
+++ b/src/currantcart/admission/throttle.py
@@ -115,7 +115,7 @@
             return True
         return self.rng.random() >= tally.refuse_share()
 
-    def answered(
+    def record_response(
         self,
         stream: TrafficClass,
         *,
--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -99,7 +99,7 @@
     shed_level: int,
 ) -> None:
     """Records in the throttle, and in the parent, whether a call was shed."""
-    context.throttle.answered(
+    context.throttle.record_response(
         stream_of(call),
         accepted=accepted,
         shed_level=shed_level,
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -21,7 +21,7 @@
     """Sends a call each millisecond, of which one in ten is accepted."""
     for now in range(until):
         if ingress.admit(BROWSE, now):
-            ingress.answered(
+            ingress.record_response(
                 BROWSE, accepted=now % 10 == 0, shed_level=0, now=now
             )
 
