--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from currantcart.admission import speed
+from currantcart.admission import work_time
 from currantcart.http1 import pool, status
 from currantcart.proxy import context as proxy_context
 from currantcart.proxy import settings as proxy_settings
@@ -53,7 +53,7 @@
         names = context.header_names
         self.deadline_line = f"{names.deadline}: %d\r\n".encode()
         self.expected_line = f"{names.expected}: %s\r\n".encode()
-        self.speed = speed.Speed()
+        self.speed = work_time.Speed()
 
     def reset(self) -> None:
         """Closes all connections and resets measurements for a new target.
@@ -62,7 +62,7 @@
         one.
         """
         self.pool.close()
-        self.speed = speed.Speed()
+        self.speed = work_time.Speed()
 
     def start(self, job: job_module.Job) -> None:
         """Sends a request on a pooled connection or dials a new one."""
