--- a/src/currantcart/admission/work_time.py
+++ b/src/currantcart/admission/work_time.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Speed:
+class WorkTime:
     """Smoothed work time of a target, as a geometric mean.
 
     The requests of a service differ widely in work, so the arithmetic means of
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -53,7 +53,7 @@
         names = context.header_names
         self.deadline_line = f"{names.deadline}: %d\r\n".encode()
         self.expected_line = f"{names.expected}: %s\r\n".encode()
-        self.speed = work_time.Speed()
+        self.speed = work_time.WorkTime()
 
     def reset(self) -> None:
         """Closes all connections and resets measurements for a new target.
@@ -62,7 +62,7 @@
         one.
         """
         self.pool.close()
-        self.speed = work_time.Speed()
+        self.speed = work_time.WorkTime()
 
     def start(self, job: job_module.Job) -> None:
         """Sends a request on a pooled connection or dials a new one."""
