--- a/src/currantcart/admission/throttle.py
+++ b/src/currantcart/admission/throttle.py
@@ -89,35 +89,35 @@
             return graph_model.NO_SHEDDING
         return level.priority
 
-    def tally(self, stream: TrafficClass, now: float) -> Tally:
-        """Returns the tally of a stream, advanced to the current time."""
-        tally = self.tallies.get(stream)
+    def tally(self, traffic_class: TrafficClass, now: float) -> Tally:
+        """Returns the tally of a traffic class, advanced to a time."""
+        tally = self.tallies.get(traffic_class)
         if tally is None:
             if len(self.tallies) >= TALLIES_BEFORE_EVICTION:
                 self.evict_idle(now)
-            tally = self.tallies[stream] = Tally(started_ms=now)
+            tally = self.tallies[traffic_class] = Tally(started_ms=now)
         tally.advance(now)
         return tally
 
     def evict_idle(self, now: float) -> None:
         """Evicts tallies that have been idle."""
         self.tallies = {
-            stream: tally
-            for stream, tally in self.tallies.items()
+            traffic_class: tally
+            for traffic_class, tally in self.tallies.items()
             if now - tally.started_ms < IDLE_MS
         }
 
-    def admit(self, stream: TrafficClass, now: float) -> bool:
+    def admit(self, traffic_class: TrafficClass, now: float) -> bool:
         """Returns whether a call is admitted, counting it as a request."""
-        tally = self.tally(stream, now)
+        tally = self.tally(traffic_class, now)
         tally.requests += 1
-        if stream.priority > self.level(stream.service, now):
+        if traffic_class.priority > self.level(traffic_class.service, now):
             return True
         return self.rng.random() >= tally.refuse_share()
 
     def record_response(
         self,
-        stream: TrafficClass,
+        traffic_class: TrafficClass,
         *,
         accepted: bool,
         shed_level: int,
@@ -126,16 +126,16 @@
         """Records the outcome of a call and the shedding level it returned.
 
         Args:
-          stream: Stream of the call.
+          traffic_class: Traffic class of the call.
           accepted: Whether no service in the chain shed the call.
           shed_level: Shedding level on the response.
           now: Current time, in ms.
         """
         if accepted:
-            self.tally(stream, now).accepts += 1
+            self.tally(traffic_class, now).accepts += 1
         if shed_level > graph_model.NO_SHEDDING:
-            current = self.level(stream.service, now)
-            self.levels[stream.service] = ShedLevel(
+            current = self.level(traffic_class.service, now)
+            self.levels[traffic_class.service] = ShedLevel(
                 priority=max(current, shed_level),
                 until_ms=now + LEVEL_TTL_MS,
             )
--- a/src/currantcart/workspace/quota.py
+++ b/src/currantcart/workspace/quota.py
@@ -53,7 +53,7 @@
       tokens: Tokens at `updated_at`; negative if the nodes together admitted
         too many requests.
       updated_at: When `tokens` was updated last.
-      since: When the bucket was created.
+      created_at: When the bucket was created.
       admitted: Requests that this node admitted since its start.
       refused_at: When a request was refused last for lack of a token.
       unreported: Estimate of what others have admitted and not reported.
@@ -65,7 +65,7 @@
     burst: float
     tokens: float
     updated_at: float
-    since: float
+    created_at: float
     admitted: int = 0
     refused_at: float = float("-inf")
     unreported: unreported.Unreported = dataclasses.field(
@@ -182,7 +182,7 @@
             FREE_OF_BURST_MIN * burst,
             FREE_OF_BURST * burst - FREE_LOST_PER_NODE * self.nodes,
         )
-        if now - bucket.since < FREE_AT_START_MS:
+        if now - bucket.created_at < FREE_AT_START_MS:
             free += burst * (1.0 - START_SHARE)
         return free
 
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -49,7 +49,9 @@
     assert all(ingress.admit(BROWSE, later) for _ in range(100))
 
 
-def test_idle_streams_are_evicted(ingress: throttle.IngressThrottle) -> None:
+def test_idle_traffic_classes_are_evicted(
+    ingress: throttle.IngressThrottle,
+) -> None:
     for number in range(throttle.TALLIES_BEFORE_EVICTION + 1):
         ingress.admit(throttle.TrafficClass("s", str(number), 0), number * 20.0)
     assert len(ingress.tallies) < throttle.TALLIES_BEFORE_EVICTION
--- a/tests/workspace/test_publisher.py
+++ b/tests/workspace/test_publisher.py
@@ -44,7 +44,7 @@
                     node.apply_counts(str(other), {}, 0.0)
             if not started:
                 bucket = node.buckets["mill"]
-                bucket.tokens, bucket.since = rate, float("-inf")
+                bucket.tokens, bucket.created_at = rate, float("-inf")
         self.phases = [self.rng.randrange(self.status_pace) for _ in self.nodes]
         self.reported = [0] * count
         self.offered = 0
