--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -27,9 +27,9 @@
 )
 
 
-def stream_of(call: call_model.Call) -> throttle.Stream:
+def stream_of(call: call_model.Call) -> throttle.TrafficClass:
     """Returns the throttle's key for a call."""
-    return throttle.Stream(call.service, call.workspace, call.priority)
+    return throttle.TrafficClass(call.service, call.workspace, call.priority)
 
 
 def record(
@@ -99,11 +99,11 @@
     shed_level: int,
 ) -> None:
     """Records in the throttle, and in the parent, whether a call was shed."""
-    context.throttle.answered(
+    context.throttle.record_response(
         stream_of(call),
         accepted=accepted,
         shed_level=shed_level,
         now=context.clock.now(),
     )
     if call.parent is not None and not accepted:
-        call.parent.note_shedding(max(shed_level, call.priority))
+        call.parent.record_shedding(max(shed_level, call.priority))
--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -98,7 +98,7 @@
         self.guard = guard.Guard(context)
         self.inbound = inbound.Inbound(context, self.guard)
         self.outbound = outbound.Outbound(
-            context, own_guard=self.guard, quotas=self.quotas
+            context, local_guard=self.guard, quotas=self.quotas
         )
         self.callers = frontend.CallerServer(
             context,
@@ -329,14 +329,14 @@
         self.feed.tick()
         self.outbound.retries.record_fleet_size()
         now = self.context.now
-        self.silence.tick(asking=bool(self.quotas.expedited()))
+        self.silence.tick(probing=bool(self.quotas.expedited()))
         self.quotas.set_silent_share(self.silence.share(), now)
         peer_count = len(self.peers.by_instance)
         self.quotas.set_fleet(
             nodes=peer_count + 1,
             lag_ms=dissemination_lag_ms(self.context.status_interval_ms),
             expedited_lag_ms=dissemination_lag_ms(
-                publisher.counts_pace_ms(peer_count)
+                publisher.counts_interval_ms(peer_count)
             ),
         )
         if self.ticks % SWEEP_TICKS == 0:
--- a/src/currantcart/proxy/requests/attempts.py
+++ b/src/currantcart/proxy/requests/attempts.py
@@ -24,11 +24,11 @@
         self,
         context: proxy_context.Context,
         *,
-        own_guard: guard.Guard,
+        local_guard: guard.Guard,
         handler: local_reply.AttemptHandler,
     ) -> None:
         self.context = context
-        self.guard = own_guard
+        self.guard = local_guard
         self.handler = handler
 
     # Sending.
@@ -66,7 +66,7 @@
             body=request.body,
             more=0,
             age_ms=now - request.head_received_at,
-            repeated=call.lineage.repeated or call.handed_to_targets > 0,
+            from_retry=call.lineage.is_retry or call.handed_to_targets > 0,
         )
 
     def hand_to_local(self, call: call_module.Call, now: float) -> None:
--- a/src/currantcart/proxy/streams/link.py
+++ b/src/currantcart/proxy/streams/link.py
@@ -1,8 +1,8 @@
 """Streams between nodes: liveness, clock offsets and the calls on them.
 
 The node that dials opens calls; the other one answers them. Both sides send
-their status at a steady pace, so either side detects a silent stream without
-waiting for the kernel, which would take minutes.
+their status at regular intervals, so either side detects a silent stream
+without waiting for the kernel, which would take minutes.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 PROTOCOL = 1
 SUSPECT_MS = 900.0
-SUSPECT_PACES = 2.0
+SUSPECT_INTERVALS = 2.0
 """Silence after which no new call is opened on a stream.
 
 Two statuses may be late on a link that loses packets. The limit grows with
-the pace: large fleets send statuses less often, and with a fixed limit a
-stream would become suspect between any two of them.
+the status interval: under a fixed limit the streams of a large fleet, which
+sends statuses less often, would become suspect between any two of them.
 """
 SILENT_MS = 1_600.0
-SILENT_PACES = 3.5
+SILENT_INTERVALS = 3.5
 """Silence after which a stream is closed."""
-PROBE_TIMEOUT_PACES = 1.5
+PROBE_TIMEOUT_INTERVALS = 1.5
 """Time after which a stream with an unanswered probe is closed."""
 PROBE_AFTER_MS = 120.0
 """Silence after which the peer of a stream with calls on it is probed."""
@@ -48,19 +48,19 @@
 WRITE_BYTES_MAX = 8 * 1024 * 1024
 
 
-def suspect_ms(pace_ms: float) -> float:
+def suspect_ms(interval_ms: float) -> float:
     """Returns the silence after which a stream gets no new calls."""
-    return max(SUSPECT_MS, SUSPECT_PACES * pace_ms)
+    return max(SUSPECT_MS, SUSPECT_INTERVALS * interval_ms)
 
 
-def silent_ms(pace_ms: float) -> float:
+def silent_ms(interval_ms: float) -> float:
     """Returns the silence after which a stream is closed."""
-    return max(SILENT_MS, SILENT_PACES * pace_ms)
+    return max(SILENT_MS, SILENT_INTERVALS * interval_ms)
 
 
-def probe_timeout_ms(pace_ms: float) -> float:
+def probe_timeout_ms(interval_ms: float) -> float:
     """Returns the time after which an unanswered probe closes a stream."""
-    return max(SILENT_MS, PROBE_TIMEOUT_PACES * pace_ms)
+    return max(SILENT_MS, PROBE_TIMEOUT_INTERVALS * interval_ms)
 
 
 class LinkOwner(Protocol):
@@ -141,9 +141,9 @@
       fetches: Whether the peer fetches a configuration that it lacks.
       sent_version: Newest configuration version that was sent on it.
       ready: Whether the offset of the peer's clock is known.
-      heard_at: When data was last received.
+      received_at: When data was last received.
       echoed_at: When the newest status was sent that the peer has echoed.
-      asked_at: When the unanswered probe was sent; 0 without one.
+      probed_at: When the unanswered probe was sent; 0 without one.
       logged_unresponsive: Whether the peer was last logged as unresponsive.
       status_now: Peer's clock in its last `Hello` or status.
       status_at: When that frame was received.
@@ -164,14 +164,14 @@
         self.peer: frames.Member | None = None
         self.peer_started_at = float("-inf")
         self.ready = False
-        self.heard_at = context.now
+        self.received_at = context.now
         self.calls: dict[int, object] = {}
         self.numbers = itertools.count(1)
         self.clock = PeerClock()
         self.status_now = 0.0
         self.status_at = 0.0
         self.echoed_at = 0.0
-        self.asked_at = 0.0
+        self.probed_at = 0.0
         self.logged_unresponsive = False
         self.published_counts: dict[str, int] = {}
         self.sent_version = 0
@@ -229,8 +229,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Handles received frames; an invalid one closes this stream only."""
-        self.heard_at = self.context.now
-        self.asked_at = 0.0
+        self.received_at = self.context.now
+        self.probed_at = 0.0
         try:
             for frame in self.reader.feed(data):
                 self.receive(frame)
@@ -311,8 +311,8 @@
         The side that was dialled answers each status at once.
         """
         self.send(status)
-        if self.dialled and not self.asked_at:
-            self.asked_at = self.context.now
+        if self.dialled and not self.probed_at:
+            self.probed_at = self.context.now
 
     def is_probe_due(self, now: float) -> bool:
         """Returns whether the peer is due to be probed.
@@ -322,13 +322,13 @@
         """
         return (
             bool(self.calls)
-            and not self.asked_at
-            and now - self.heard_at > PROBE_AFTER_MS
+            and not self.probed_at
+            and now - self.received_at > PROBE_AFTER_MS
         )
 
     def is_unresponsive(self, now: float) -> bool:
         """Returns whether a probe was not answered within `UNRESPONSIVE_MS`."""
-        return bool(self.asked_at) and now - self.asked_at > UNRESPONSIVE_MS
+        return bool(self.probed_at) and now - self.probed_at > UNRESPONSIVE_MS
 
     def log_unresponsive(self, now: float) -> None:
         """Logs when the peer becomes unresponsive, and when it recovers."""
@@ -339,7 +339,7 @@
             "peer_quiet" if self.logged_unresponsive else "peer_heard_again",
             peer=self.peer.instance if self.peer else "",
             calls=len(self.calls),
-            silent_ms=round(now - self.heard_at),
+            silent_ms=round(now - self.received_at),
         )
 
     def usable(self, now: float) -> bool:
@@ -353,17 +353,17 @@
         return (
             self.ready
             and self.transport is not None
-            and now - self.heard_at < limit
+            and now - self.received_at < limit
             and now - self.echoed_at < limit + self.context.status_interval_ms
         )
 
     def check(self, now: float) -> None:
         """Closes the stream if it is silent or a probe has timed out."""
-        pace = self.context.status_interval_ms
-        silent = now - self.heard_at > silent_ms(pace)
+        interval_ms = self.context.status_interval_ms
+        silent = now - self.received_at > silent_ms(interval_ms)
         unanswered = bool(
-            self.asked_at
-        ) and now - self.asked_at > probe_timeout_ms(pace)
+            self.probed_at
+        ) and now - self.probed_at > probe_timeout_ms(interval_ms)
         if self.transport is not None and (silent or unanswered):
             self.abort("silent")
 
@@ -381,7 +381,7 @@
             dialled=self.dialled,
             reason=reason,
             calls=len(self.calls),
-            silent_ms=round(self.context.now - self.heard_at),
+            silent_ms=round(self.context.now - self.received_at),
         )
         self.owner.link_lost(self)
 
--- a/src/currantcart/proxy/streams/peers.py
+++ b/src/currantcart/proxy/streams/peers.py
@@ -26,12 +26,12 @@
       by_instance: Peers by instance.
       by_service: Targets of each service, including the local one.
       members_listed: Whether the store has once listed all nodes.
-      own: The local target, as the router sees it.
+      local_target: This node's target, as the router sees it.
       accepted: Streams that were dialled by peers.
       reachability: Targets that can be reached, and their pressure.
       leaving_targets: Id and start time of targets that were reported as
         leaving, by instance.
-      publisher: Sends this node's state at its pace.
+      publisher: Sends this node's status periodically.
     """
 
     def __init__(
@@ -65,17 +65,17 @@
             service=settings.service,
             failure_domain=settings.failure_domain,
         )
-        self.own = peer_module.target_of(self.member)
+        self.local_target = peer_module.target_of(self.member)
         self.by_instance: dict[str, peer_module.Peer] = {}
         self.by_service: dict[str, list[picker.Target]] = {
-            settings.service: [self.own]
+            settings.service: [self.local_target]
         }
         self.members_listed = False
         self.accepted: set[link.Link] = set()
         self.leaving_targets: dict[str, tuple[str, int]] = {}
         self.reachability = reachability.Reachability(
             context,
-            own=self.own,
+            local_target=self.local_target,
             by_service=self.by_service,
             link_to=self.link_to,
         )
@@ -103,7 +103,7 @@
         if peer is not None:
             self.drop(peer, "started_anew")
         target = peer_module.target_of(member)
-        peer = peer_module.Peer(member, target, heard_at=self.context.now)
+        peer = peer_module.Peer(member, target, received_at=self.context.now)
         self.by_instance[member.instance] = peer
         self.by_service.setdefault(member.service, []).append(target)
         self.context.log.event(
@@ -183,13 +183,13 @@
                 self.add_member(member)
         now = self.context.now
         for peer in list(self.by_instance.values()):
-            gone = now - peer.heard_at > DROP_MS and not self.is_alive(peer)
+            gone = now - peer.received_at > DROP_MS and not self.is_alive(peer)
             if gone and peer.member.instance not in listed:
                 self.drop(peer, "not_named_and_silent")
 
     def is_alive(self, peer: peer_module.Peer) -> bool:
         """Returns whether a peer is not silent."""
-        silence = self.context.now - peer.heard_at
+        silence = self.context.now - peer.received_at
         return silence < link.silent_ms(self.context.status_interval_ms)
 
     def rank(self) -> int:
@@ -256,7 +256,7 @@
         if peer is None:
             item.abort("own_address")
             return
-        peer.heard_at = self.context.now
+        peer.received_at = self.context.now
         peer.started_at = item.peer_started_at
         if item.dialled:
             self.drop_predecessors(peer, item)
@@ -297,14 +297,14 @@
         peer = self.peer_of(item)
         if peer is None:
             return
-        peer.heard_at = self.context.now
+        peer.received_at = self.context.now
         peer.has_reported = True
         peer.version = status.version
         self.update_target(peer.target, status.target)
         self.on_status(peer, item, status)
         if not item.dialled:
-            # The dialler sets the pace. Its status is answered at once, from
-            # which both sides measure the round-trip time.
+            # The dialler sets the interval: its status is answered at once, and
+            # both sides measure the round-trip time by it.
             item.send(self.status(item))
 
     def update_target(
--- a/src/currantcart/proxy/streams/publisher.py
+++ b/src/currantcart/proxy/streams/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a node's status and counts to its peers, at a bounded pace."""
+"""Publishes a node's status and counts to its peers, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 STATUS_MS = 400.0
 STATUS_MS_PER_PEER = 6.0
-"""Added to the pace per peer beyond `SMALL_FLEET`, to bound a node's cost."""
+"""Added to the interval per peer beyond `SMALL_FLEET`; bounds a node's cost."""
 SMALL_FLEET = 12
 COUNTS_MS = 45.0
 COUNTS_MS_PER_PEER = 0.5
@@ -20,12 +20,12 @@
 """
 
 
-def status_pace_ms(peers: int) -> float:
+def status_interval_ms(peers: int) -> float:
     """Returns the time between two statuses of a node with so many peers."""
     return STATUS_MS + STATUS_MS_PER_PEER * max(0, peers - SMALL_FLEET)
 
 
-def counts_pace_ms(peers: int) -> float:
+def counts_interval_ms(peers: int) -> float:
     """Returns the time between two updates of expedited counts."""
     return COUNTS_MS + COUNTS_MS_PER_PEER * peers
 
@@ -73,10 +73,10 @@
     def tick(self, now: float) -> None:
         """Sends the status and the expedited counts if they are due."""
         count = self.peer_count()
-        self.context.status_interval_ms = status_pace_ms(count)
+        self.context.status_interval_ms = status_interval_ms(count)
         if now - self.published_at >= self.context.status_interval_ms:
             self.publish()
-        if now - self.expedited_at >= counts_pace_ms(count):
+        if now - self.expedited_at >= counts_interval_ms(count):
             self.expedited_at = now
             self.publish_counts(self.expedited())
 
--- a/tests/workspace/test_publisher.py
+++ b/tests/workspace/test_publisher.py
@@ -27,8 +27,8 @@
 
     def __init__(self, count: int, *, rate: float, started: bool) -> None:
         peers = count - 1
-        self.status_pace = int(publisher.status_pace_ms(peers))
-        expedited = publisher.counts_pace_ms(peers)
+        self.status_pace = int(publisher.status_interval_ms(peers))
+        expedited = publisher.counts_interval_ms(peers)
         lag_ms = node_module.dissemination_lag_ms(self.status_pace)
         expedited_lag_ms = node_module.dissemination_lag_ms(expedited)
         self.expedited_pace = int(expedited_lag_ms - node_module.TRANSIT_MS)
@@ -44,7 +44,7 @@
                     node.apply_counts(str(other), {}, 0.0)
             if not started:
                 bucket = node.buckets["mill"]
-                bucket.tokens, bucket.since = rate, float("-inf")
+                bucket.tokens, bucket.created_at = rate, float("-inf")
         self.phases = [self.rng.randrange(self.status_pace) for _ in self.nodes]
         self.reported = [0] * count
         self.offered = 0
