--- a/src/currantcart/wire/call_stream.py
+++ b/src/currantcart/wire/call_stream.py
@@ -35,6 +35,7 @@
       unread: Bytes received and not yet read.
       consumed: Bytes read since the last window update.
       on_reset: Called when the call fails.
+      on_close: Called with the call number when the call has ended.
     """
 
     def __init__(
@@ -43,13 +44,13 @@
         call_number: int,
         peer: str,
         send: Callable[[messages.Message], None],
-        forget: Callable[[int], None],
+        on_close: Callable[[int], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.call_number = call_number
         self.peer = peer
         self.send_message = send
-        self.forget = forget
+        self.on_close = on_close
         self.loop = loop
         self.head: Head | None = None
         self.chunks: collections.deque[bytes] = collections.deque()
@@ -253,6 +254,6 @@
         The stream and the call refer to each other. If such cycles were left
         to the garbage collector, its pauses would cause the slowest calls.
         """
-        self.forget(self.call_number)
+        self.on_close(self.call_number)
         self.on_reset = None
         self.send_message = drop_message
--- a/src/currantcart/wire/codec.py
+++ b/src/currantcart/wire/codec.py
@@ -49,7 +49,7 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> Iterator[messages.Message]:
-        """Yields the messages that received bytes complete.
+        """Yields the messages that the received bytes complete.
 
         Raises:
           errors.StreamError: A frame is too large or not a valid message.
--- a/src/currantcart/wire/connection.py
+++ b/src/currantcart/wire/connection.py
@@ -163,13 +163,13 @@
             call_number=call_number,
             peer=self.peer,
             send=self.send,
-            forget=self.forget,
+            on_close=self.remove_call,
             loop=self.loop,
         )
         self.calls[call_number] = call
         return call
 
-    def forget(self, call_number: int) -> None:
+    def remove_call(self, call_number: int) -> None:
         """Removes a call that has ended."""
         self.calls.pop(call_number, None)
 
@@ -254,10 +254,10 @@
         caller_side.receive(message)
 
     caller_side = call_stream.CallStream(
-        call_number=0, peer=instance, send=to_target, forget=ignore, loop=loop
+        call_number=0, peer=instance, send=to_target, on_close=ignore, loop=loop
     )
     target_side = call_stream.CallStream(
-        call_number=0, peer=instance, send=to_caller, forget=ignore, loop=loop
+        call_number=0, peer=instance, send=to_caller, on_close=ignore, loop=loop
     )
     caller_side.hold_body()
     caller_side.sent_last = opening.last
--- a/src/currantcart/wire/handshake.py
+++ b/src/currantcart/wire/handshake.py
@@ -1,8 +1,8 @@
 """Handshake of a stream: version negotiation and mutual authentication.
 
 It does no input or output: messages in, messages out. Each side proves that it
-holds the fleet secret with a MAC over both nonces, both names and its role, so
-a proof is valid on one stream and in one direction only.
+holds the fleet secret with a MAC over its role, the version, both names and
+both nonces, so a proof is valid once, on one stream and in one direction.
 """
 
 from __future__ import annotations
