--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """A ping that has not been handle_ack yet.
+    """A ping that has not been acknowledged yet.
 
     Attributes:
       member: The member that was pinged.
@@ -291,7 +291,7 @@
         return Outgoing(ping.sender_address, ack)
 
     def handle_ack(self, ack: messages.Datagram) -> list[Outgoing]:
-        """Handles an ack of the current probe or of a relayed ping."""
+        """Ends the current probe, or forwards the ack of a relayed ping."""
         if self.probe is not None and ack.sequence == self.probe.sequence:
             self.probe = None
             return []
