--- a/src/currantcart/config/view.py
+++ b/src/currantcart/config/view.py
@@ -113,7 +113,7 @@
             raise errors.Refusal(
                 errors.Code.NOT_READY,
                 errors.Step.CONFIG,
-                "node has no configuration yet",
+                "this node has no configuration yet",
                 not_run=True,
                 retry_after_ms=1_000.0,
             )
