--- a/src/currantcart/proxy/streams/silence.py
+++ b/src/currantcart/proxy/streams/silence.py
@@ -15,7 +15,7 @@
 from currantcart.proxy.streams import frames, link
 from currantcart.proxy.streams import peer as peer_module
 
-LATE_PACES = 0.6
+LATE_INTERVALS = 0.6
 LATE_MS = 150.0
 """Silence after which a failure domain is probed; the least for one peer."""
 ANSWER_TICKS = 3
@@ -26,9 +26,9 @@
 PROBED_PEERS = 3
 
 
-def late_ms(pace_ms: float) -> float:
+def late_ms(interval_ms: float) -> float:
     """Returns the silence after which a single peer is probed."""
-    return max(LATE_MS, LATE_PACES * pace_ms)
+    return max(LATE_MS, LATE_INTERVALS * interval_ms)
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,18 +46,18 @@
         """Whether the probe was not answered in time."""
         return self.ticks > ANSWER_TICKS
 
-    def tick(self, *, late: bool, asking: bool) -> bool:
+    def tick(self, *, late: bool, probing: bool) -> bool:
         """Counts a tick; returns whether to probe now.
 
         Args:
           late: Whether the peer or domain has been silent for too long.
-          asking: Whether probes may be started.
+          probing: Whether probes may be started.
         """
         if not late:
             self.ticks = 0
         elif self.ticks:
             self.ticks += 1
-        elif asking:
+        elif probing:
             self.ticks = 1
             return True
         return False
@@ -99,13 +99,13 @@
         """
         return [peer for peer in self.peers() if not peer.ended]
 
-    def tick(self, *, asking: bool) -> None:
+    def tick(self, *, probing: bool) -> None:
         """Updates the state of all probes, and sends those that are due.
 
         Args:
-          asking: Whether silent peers are to be probed.
+          probing: Whether silent peers are to be probed.
         """
-        if not asking and not self.domains:
+        if not probing and not self.domains:
             return
         now, limit = self.context.now, late_ms(self.context.status_interval_ms)
         domains: dict[str, list[peer_module.Peer]] = {}
@@ -116,18 +116,18 @@
             domains.setdefault(peer.member.failure_domain, []).append(peer)
             name = peer.member.process
             probe = processes[name] = self.processes.get(name) or Probe()
-            if probe.tick(late=now - peer.heard_at > limit, asking=asking):
+            if probe.tick(late=now - peer.received_at > limit, probing=probing):
                 self.probe([peer])
         self.processes = processes
         self.domains = {
             name: self.domains.get(name) or Probe() for name in domains
         }
         for name, peers in domains.items():
-            silence = now - max(peer.heard_at for peer in peers)
+            silence = now - max(peer.received_at for peer in peers)
             late = silence > LATE_MS
-            if self.domains[name].tick(late=late, asking=asking):
+            if self.domains[name].tick(late=late, probing=probing):
                 self.probe(peers)
-        if not asking and not self.is_probing():
+        if not probing and not self.is_probing():
             self.domains, self.processes = {}, {}
 
     def is_probing(self) -> bool:
@@ -151,7 +151,7 @@
             self.context.status_interval_ms
         )
         silent = sum(
-            peer.heard_at < oldest or self.missed_probe(peer)
+            peer.received_at < oldest or self.missed_probe(peer)
             for peer in live_peers
         )
         return silent / (len(live_peers) + 1)
--- a/tests/admission/test_throttle.py
+++ b/tests/admission/test_throttle.py
@@ -8,8 +8,8 @@
 
 from currantcart.admission import throttle
 
-BROWSE = throttle.Stream("permits", "mill", 0)
-PAY = throttle.Stream("permits", "mill", 24)
+BROWSE = throttle.TrafficClass("permits", "mill", 0)
+PAY = throttle.TrafficClass("permits", "mill", 24)
 
 
 @pytest.fixture
@@ -21,7 +21,7 @@
     """Sends a call each millisecond, of which one in ten is accepted."""
     for now in range(until):
         if ingress.admit(BROWSE, now):
-            ingress.answered(
+            ingress.record_response(
                 BROWSE, accepted=now % 10 == 0, shed_level=0, now=now
             )
 
@@ -49,7 +49,9 @@
     assert all(ingress.admit(BROWSE, later) for _ in range(100))
 
 
-def test_idle_streams_are_evicted(ingress: throttle.IngressThrottle) -> None:
+def test_idle_traffic_classes_are_evicted(
+    ingress: throttle.IngressThrottle,
+) -> None:
     for number in range(throttle.TALLIES_BEFORE_EVICTION + 1):
-        ingress.admit(throttle.Stream("s", str(number), 0), number * 20.0)
+        ingress.admit(throttle.TrafficClass("s", str(number), 0), number * 20.0)
     assert len(ingress.tallies) < throttle.TALLIES_BEFORE_EVICTION
--- a/tests/proxy/streams/test_silence.py
+++ b/tests/proxy/streams/test_silence.py
@@ -26,7 +26,7 @@
 def paused(place: fake_mesh.Place) -> silence.SilenceDetector:
     """Makes a node's last received frames older; returns its detector."""
     for peer in place.node.peers.by_instance.values():
-        peer.heard_at -= 400.0
+        peer.received_at -= 400.0
     return place.node.silence
 
 
@@ -74,9 +74,9 @@
     """After a pause of its own process, all peers appear silent to a node."""
     detector = paused((await at_limit(mesh))[0])
     for _ in range(silence.ANSWER_TICKS):
-        detector.tick(asking=True)
+        detector.tick(probing=True)
         assert detector.share() == 0.0
-    detector.tick(asking=True)
+    detector.tick(probing=True)
     assert detector.share() > 0.9
 
 
@@ -85,7 +85,7 @@
 ) -> None:
     detector = paused((await at_limit(mesh))[0])
     for _ in range(10):
-        detector.tick(asking=False)
+        detector.tick(probing=False)
     assert detector.share() == 0.0
 
 
@@ -93,5 +93,5 @@
 def test_a_single_peer_is_probed_before_its_stream_is_suspect(
     nodes: int,
 ) -> None:
-    pace = publisher.status_pace_ms(nodes - 1)
-    assert silence.late_ms(pace) + 200 < link.suspect_ms(pace) / 1.5
+    interval = publisher.status_interval_ms(nodes - 1)
+    assert silence.late_ms(interval) + 200 < link.suspect_ms(interval) / 1.5
--- a/tests/workspace/test_quota.py
+++ b/tests/workspace/test_quota.py
@@ -169,7 +169,7 @@
 
 def test_the_pace_of_expedited_counts_keeps_a_rate_at_ninety_nodes() -> None:
     fleet = Fleet(90)
-    pace = publisher.counts_pace_ms(90)
+    pace = publisher.counts_interval_ms(90)
     simulate(fleet, per_second=1_500, reported_ms=round(pace))
     assert fleet.most_in_a_window() <= ALLOWED
 
@@ -248,13 +248,13 @@
     """
     fleet = Fleet(nodes)
     fleet.isolated = set(range(round(0.3 * nodes)))
-    pace = publisher.status_pace_ms(nodes - 1)
+    pace = publisher.status_interval_ms(nodes - 1)
     answered_ms = (silence.ANSWER_TICKS + 2) * node_module.TICK_MS
     fleet.noticed_ms = (
         silence.LATE_MS + answered_ms,
         silence.late_ms(pace) + answered_ms,
     )
-    counts_ms = publisher.counts_pace_ms(nodes - 1)
+    counts_ms = publisher.counts_interval_ms(nodes - 1)
     simulate(
         fleet,
         per_second=per_second,
