--- a/src/currantcart/telemetry/__init__.py
+++ b/src/currantcart/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics, traces and the record of recent decisions."""
+"""Logs, metrics, traces and the history of recent decisions."""
--- a/src/currantcart/telemetry/counts.py
+++ b/src/currantcart/telemetry/counts.py
@@ -1,7 +1,7 @@
-"""Counts and latencies of one node, cheap to take and exposed when asked.
+"""Counters, histograms and gauges of one node, exposed to Prometheus.
 
-A request pays a dictionary entry and an addition; the library's families are
-built only when somebody reads the metrics address.
+Recording a request costs a dictionary look-up and an addition. The metric
+families of the client library are built only when the metrics are scraped.
 """
 
 from __future__ import annotations
@@ -25,13 +25,16 @@
 
 
 class Counts:
-    """All counts of one node.
+    """Registry of all metrics of one node.
 
     Attributes:
       counters: Counts by metric and label values.
-      histograms: Observations in each bucket, and their sum, likewise.
-      gauges: What is read when somebody asks, by metric.
-      service_gauges: The same by metric and service.
+      histograms: Observations per bucket, followed by their sum in
+        milliseconds, by metric and label values.
+      gauges: Functions that return the current value, by metric; called on
+        each scrape.
+      service_gauges: Functions that return the current values by service, by
+        metric; called on each scrape.
     """
 
     def __init__(self) -> None:
@@ -45,14 +48,18 @@
             self.histograms[name] = {}
 
     def add(self, name: str, *labels: str) -> None:
-        """Counts one; beyond the bound of label sets, under `other`."""
+        """Increments a counter.
+
+        Once the metric has `LABEL_SETS_MAX` label sets, new ones are counted
+        under the label value `other`.
+        """
         counter = self.counters[name]
         if labels not in counter and len(counter) >= LABEL_SETS_MAX:
             labels = ("other",) * len(labels)
         counter[labels] += 1
 
     def observe(self, name: str, milliseconds: float, *labels: str) -> None:
-        """Takes a latency."""
+        """Records a latency in a histogram."""
         cells = self.histograms[name].get(labels)
         if cells is None:
             cells = [0.0] * (len(BUCKETS_MS) + 2)
@@ -61,7 +68,7 @@
         cells[-1] += milliseconds
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields the library's families."""
+        """Yields the metric families of the client library."""
         for name, (text, labels) in COUNTERS.items():
             family = core.CounterMetricFamily(
                 f"currantcart_{name}", text, labels=labels
@@ -86,7 +93,7 @@
     def histogram(
         self, name: str, text: str, labels: list[str]
     ) -> core.HistogramMetricFamily:
-        """Returns the library's family of a histogram."""
+        """Returns the metric family of a histogram, in seconds."""
         family = core.HistogramMetricFamily(
             f"currantcart_{name}", text, labels=labels
         )
@@ -101,20 +108,20 @@
         return family
 
     def render(self) -> bytes:
-        """Returns the exposition text."""
-        made = prometheus_client.CollectorRegistry()
-        made.register(Collector(self))
-        return prometheus_client.generate_latest(made)
+        """Returns all metrics in the Prometheus text format."""
+        collectors = prometheus_client.CollectorRegistry()
+        collectors.register(Collector(self))
+        return prometheus_client.generate_latest(collectors)
 
 
 class Collector(registry.Collector):
-    """Hands the counts to the library."""
+    """Adapter between `Counts` and the Prometheus client library."""
 
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields the families."""
+        """Yields the metric families."""
         return self.counts.collect()
 
 
--- a/src/currantcart/telemetry/decisions.py
+++ b/src/currantcart/telemetry/decisions.py
@@ -1,8 +1,9 @@
-"""Decision log: one line of key=value pairs, never waiting for its reader.
+"""Decision log: logfmt lines, written without blocking.
 
-Lines are gathered and written at the end of a turn of the loop, so that a
-request does not pay a system call for each. At most a stated number of lines
-a second is kept; what lies beyond is counted by event, and the count is told.
+Lines are buffered for up to `FLUSH_SECONDS` and written together, so that a
+request does not cost a system call for each line. At most `LINES_A_SECOND`
+lines are logged per second. Further lines are dropped and counted by event;
+the counts are logged before the first line of a later second.
 """
 
 from __future__ import annotations
@@ -26,12 +27,14 @@
 
 
 class DecisionLog:
-    """Writes the decisions of one node.
+    """Rate-limited, buffered log of the decisions of one node.
 
     Attributes:
-      dropped: Lines that were left out in this second, by event.
-      dropped_bytes: Bytes that a full pipe did not take, in all.
-      rest: End of a line of which a part was written.
+      dropped: Lines dropped in the current second by the rate limit, by event.
+      dropped_bytes: Total bytes dropped because the buffer or the pipe was
+        full.
+      reported_bytes: The part of `dropped_bytes` that was already logged.
+      remainder: Unwritten end of a line that was written in part.
     """
 
     def __init__(
@@ -50,8 +53,8 @@
         self.loop = loop
         self.buffer: list[bytes] = []
         self.buffered = 0
-        self.rest = b""
-        self.told_bytes = 0
+        self.remainder = b""
+        self.reported_bytes = 0
         self.second = 0.0
         self.lines = 0
         self.dropped: collections.Counter[str] = collections.Counter()
@@ -59,7 +62,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def event(self, event: str, **values: object) -> None:
-        """Tells a decision."""
+        """Logs a decision, unless the rate limit of this second is reached."""
         now = self.now()
         if now - self.second >= SECOND_MS:
             self.begin_second(now)
@@ -70,15 +73,15 @@
         self.append(event, values)
 
     def begin_second(self, now: float) -> None:
-        """Starts a new second, and tells what the last one left out."""
+        """Starts a new second, and logs what has been dropped since."""
         self.second = now
         self.lines = 0
-        if self.dropped_bytes > self.told_bytes:
+        if self.dropped_bytes > self.reported_bytes:
             self.append(
                 "bytes_left_out",
-                {"bytes": self.dropped_bytes - self.told_bytes},
+                {"bytes": self.dropped_bytes - self.reported_bytes},
             )
-            self.told_bytes = self.dropped_bytes
+            self.reported_bytes = self.dropped_bytes
         if self.dropped:
             left_out: dict[str, object] = {
                 f"n_{key}": n for key, n in self.dropped.items()
@@ -87,7 +90,7 @@
             self.append("lines_left_out", left_out)
 
     def append(self, event: str, values: dict[str, object]) -> None:
-        """Formats a line and has it written soon."""
+        """Formats a line and adds it to the buffer."""
         stamp = datetime.datetime.fromtimestamp(
             self.wall() / SECOND_MS, datetime.UTC
         )
@@ -105,7 +108,7 @@
         self.keep(line.encode() + b"\n")
 
     def keep(self, line: bytes) -> None:
-        """Holds a line until the next write."""
+        """Buffers a line until the next flush; drops it if there is no room."""
         if self.buffered + len(line) > BUFFER_BYTES_MAX:
             self.dropped_bytes += len(line)
             return
@@ -115,16 +118,16 @@
             self.timer = self.loop.call_later(FLUSH_SECONDS, self.flush)
 
     def flush(self) -> None:
-        """Writes what is held; what the reader does not take is dropped.
+        """Writes the buffer; drops what the pipe does not accept at once.
 
-        A line that was written in part is finished by the next write: half a
-        line would swallow the one behind it.
+        The end of a line that was written in part is kept for the next flush:
+        an unfinished line would run into the line that follows it.
         """
         self.timer = None
-        data = b"".join((self.rest, *self.buffer))
+        data = b"".join((self.remainder, *self.buffer))
         self.buffer.clear()
         self.buffered = 0
-        self.rest = b""
+        self.remainder = b""
         if not data:
             return
         try:
@@ -135,11 +138,11 @@
             return
         if written and data[written - 1 : written] != b"\n":
             end = data.index(b"\n", written) + 1
-            self.rest = data[written:end]
+            self.remainder = data[written:end]
             written = end
         self.dropped_bytes += len(data) - written
 
 
 def to_standard_output(data: bytes) -> int:
-    """Writes to standard output, which was made non-blocking."""
+    """Writes to standard output, which must be non-blocking."""
     return os.write(1, data)
--- a/src/currantcart/telemetry/log.py
+++ b/src/currantcart/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logging: one logfmt line for each event."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure(*, level: str) -> None:
-    """Sets up logging of the process to standard error."""
+    """Configures the process to log to standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -31,6 +31,6 @@
 
 
 def get(**values: str) -> Logger:
-    """Returns a logger that puts values on each of its lines."""
+    """Returns a logger with values bound to each of its lines."""
     logger: Logger = structlog.get_logger(**values)
     return logger
--- a/src/currantcart/telemetry/losses.py
+++ b/src/currantcart/telemetry/losses.py
@@ -1,8 +1,8 @@
-"""Which requests were lost, by cause, from the decisions of all nodes.
+"""Failed and late requests by cause, from the decision logs of all nodes.
 
-A request that fails because a call below it failed is told as failed by its
-own node; the cause stands in the lines of the call, on another node. The two
-are joined by their ids, where a call's id continues that of the request above.
+A request that fails because a call made by it failed is logged as failed by
+its node, while the cause is logged by another node, with the call. The two are
+joined by their ids: the id of a call begins with the id of its request.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worth:
-    """What an answer on a route is worth.
+    """Value of an answer on a route.
 
     Attributes:
-      in_time: Within the latency objective.
-      late: After it.
+      in_time: Value of an answer within the latency objective.
+      late: Value of an answer after it.
     """
 
     in_time: float = 1.0
     late: float = 0.5
 
     def lost(self, *, late: bool) -> float:
-        """Returns what is lost by having no answer, or a late one."""
+        """Returns the value lost by a late answer, or by none at all."""
         return self.in_time - self.late if late else self.in_time
 
 
 @dataclasses.dataclass(slots=True)
 class Loss:
-    """Requests of one route that were lost for one cause.
+    """Requests of one route that failed or were late for one cause.
 
     Attributes:
       route: Name of the route.
-      cause: Why.
-      requests: How many.
-      worth: What they were worth together.
-      by_second: How many in each second.
+      cause: Error code or other cause.
+      requests: Number of requests.
+      worth: Total value lost.
+      by_second: Number of requests in each second since the first failure.
     """
 
     route: str
@@ -60,12 +60,12 @@
     )
 
     def worst_second(self) -> int:
-        """Returns the second in which most were lost."""
+        """Returns the second with the most lost requests."""
         return self.by_second.most_common(1)[0][0]
 
 
-def own_cause(line: timeline.Line) -> str:
-    """Returns the cause that a line tells of its own request."""
+def cause_of(line: timeline.Line) -> str:
+    """Returns the cause that a line gives for its own request."""
     if line.event == LATE:
         tries = line.values.get("outcomes", "").count(",") + 1
         return f"late, {tries} attempts" if tries > 1 else "late"
@@ -78,16 +78,18 @@
     return f"{code} at {service}"
 
 
-def deepest(lines: Iterable[timeline.Line]) -> dict[str, timeline.Line]:
-    """Returns the failed call farthest down in each chain, by root."""
+def deepest_failures(
+    lines: Iterable[timeline.Line],
+) -> dict[str, timeline.Line]:
+    """Returns the deepest failed call of each chain, by root request id."""
     found: dict[str, timeline.Line] = {}
     for line in lines:
         request_id = line.values.get("id", "")
         root = lineage.root_id(request_id)
         if line.event != FAILED or root == request_id:
             continue
-        before = found.get(root)
-        if before is None or len(request_id) > len(before.values["id"]):
+        previous = found.get(root)
+        if previous is None or len(request_id) > len(previous.values["id"]):
             found[root] = line
     return found
 
@@ -95,14 +97,18 @@
 def of(
     lines: Iterable[timeline.Line], worths: dict[str, Worth] | None = None
 ) -> list[Loss]:
-    """Totals what was lost, the most worth first.
+    """Totals the lost requests by route and cause.
 
     Args:
-      lines: Decisions of all nodes, in their order of time.
-      worths: What an answer is worth, by route; 1 for a route without.
+      lines: Decisions of all nodes, in order of time.
+      worths: Value of an answer by route; other routes have the defaults of
+        `Worth`.
+
+    Returns:
+      The losses, the greatest lost value first.
     """
     kept = [line for line in lines if line.event in ENDS]
-    below = deepest(kept)
+    below = deepest_failures(kept)
     start = kept[0].at if kept else 0.0
     losses: dict[tuple[str, str], Loss] = {}
     for line in kept:
@@ -110,9 +116,9 @@
         if lineage.root_id(request_id) != request_id:
             continue
         route = line.values.get("route") or UNKNOWN_ROUTE
-        cause = own_cause(line)
+        cause = cause_of(line)
         if line.event == FAILED and request_id in below:
-            cause = f"chain: {own_cause(below[request_id])}"
+            cause = f"chain: {cause_of(below[request_id])}"
         loss = losses.setdefault((route, cause), Loss(route, cause))
         loss.requests += 1
         worth = (worths or {}).get(route, Worth())
--- a/src/currantcart/telemetry/metrics.py
+++ b/src/currantcart/telemetry/metrics.py
@@ -13,10 +13,10 @@
 
 
 class Metrics:
-    """All metrics, in a registry of their own.
+    """All metrics of one node, in a separate registry.
 
     Attributes:
-      registry: What the admin port exposes.
+      registry: Registry that the admin port exposes.
     """
 
     def __init__(self) -> None:
@@ -62,10 +62,10 @@
         )
 
     def answered(self, service: str, status: int, seconds: float) -> None:
-        """Counts one answered call.
+        """Counts one answered call and records its latency.
 
-        The children are kept: looking them up by label takes the library
-        longer than counting does.
+        The labelled children are cached, because the client library needs
+        more time to look them up by label than to count.
         """
         key = (service, status // 100)
         outcome = self.outcomes.get(key)
@@ -77,12 +77,12 @@
         self.latencies[service].observe(seconds)
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Adds a gauge that is read when it is scraped."""
+        """Registers a gauge whose value is read on each scrape."""
         gauge = prometheus_client.Gauge(
             f"currantcart_{name}", text, registry=self.registry
         )
         gauge.set_function(read)
 
     def render(self) -> bytes:
-        """Returns the exposition text."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/src/currantcart/telemetry/record.py
+++ b/src/currantcart/telemetry/record.py
@@ -1,4 +1,4 @@
-"""Bounded record of recent decisions, from which `explain` answers."""
+"""Bounded history of recent decisions, used by the `explain` command."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Event(enum.StrEnum):
-    """Decisions on a call's way."""
+    """Decisions along the path of a call."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -30,13 +30,13 @@
     """One decision.
 
     Attributes:
-      wall_ms: When.
-      root_id: Root call of the chain.
-      call_id: The call.
+      wall_ms: Time of the decision, in milliseconds since 1970.
+      root_id: Id of the root call of the chain.
+      call_id: Id of the call.
       event: What was decided.
       service: Service called.
-      peer: Instance involved; empty without one.
-      detail: Why, or what came out.
+      peer: Instance involved; empty if there is none.
+      detail: Reason or result.
     """
 
     wall_ms: float
@@ -49,11 +49,12 @@
 
 
 class Recorder:
-    """The latest decisions of one node.
+    """Bounded history of the latest decisions of one node.
 
     Attributes:
-      entries: Oldest first, as field tuples: they are built for each call,
-        and turned into `Decision`s only when someone asks.
+      entries: Decisions, oldest first. They are stored as field tuples to
+        keep the cost per call low, and are converted to `Decision`s on
+        request.
     """
 
     def __init__(
@@ -74,13 +75,13 @@
         peer: str = "",
         detail: str = "",
     ) -> None:
-        """Records one decision."""
+        """Records one decision; discards the oldest when full."""
         self.entries.append(
             (self.wall(), root_id, call_id, event, service, peer, detail)
         )
 
     def find(self, call_id: str) -> list[Decision]:
-        """Returns the decisions on a call and its whole chain."""
+        """Returns the decisions on a call and on its complete chain."""
         roots = {
             entry[1]
             for entry in self.entries
--- a/src/currantcart/telemetry/timeline.py
+++ b/src/currantcart/telemetry/timeline.py
@@ -1,4 +1,4 @@
-"""Reading decision logs back: one request's way, and a day's timeline."""
+"""Parses decision logs: the path of one request, and a timeline."""
 
 from __future__ import annotations
 
@@ -51,13 +51,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One decision.
+    """One decision, parsed from a log line.
 
     Attributes:
-      at: When, in seconds since 1970.
-      event: What.
-      instance: Who decided.
-      values: The rest of the pairs.
+      at: Time of the decision, in seconds since 1970.
+      event: Name of the event.
+      instance: Instance that logged it.
+      values: All other key=value pairs.
     """
 
     at: float
@@ -66,14 +66,18 @@
     values: dict[str, str]
 
     def text(self) -> str:
-        """Returns the pairs as one text."""
+        """Returns the pairs as `key=value`, joined by spaces."""
         return " ".join(f"{key}={value}" for key, value in self.values.items())
 
 
 def parse(line: str) -> Line | None:
-    """Reads a line; None for one that is no decision.
+    """Parses a log line.
 
-    Whatever stands before the time, as a collector's own stamp, is left out.
+    Anything before the time stamp is ignored, for example a prefix that a log
+    collector adds.
+
+    Returns:
+      The decision, or None if the line is not a valid decision.
     """
     start = line.find(MARK)
     if start < 0:
@@ -90,10 +94,10 @@
 
 
 def read(paths: Iterable[pathlib.Path]) -> Iterator[Line]:
-    """Yields the decisions of some files, in their order of time.
+    """Returns the decisions of all files, in order of time.
 
     Raises:
-      errors.CurrantcartError: A file can't be read.
+      errors.CurrantcartError: A file cannot be read.
     """
     lines: list[Line] = []
     for path in paths:
@@ -109,14 +113,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Slice:
-    """A second of a day.
+    """Events of one second of the timeline.
 
     Attributes:
-      start: When it begins, in seconds since 1970.
-      ends: Requests that ended badly, by code.
-      changes: Decisions that changed what nodes believe, by event.
-      pressure: Highest word of a guard on how full its target is.
-      version: Newest configuration taken so far.
+      start: Start of the second, in seconds since 1970.
+      ends: Failed and rejected requests, by error code.
+      changes: Decisions that changed the state of a node, by event.
+      pressure: Highest pressure on a target that a node logged.
+      version: Latest configuration version that was applied so far.
     """
 
     start: float
@@ -127,24 +131,24 @@
 
 
 def slices(lines: Iterable[Line]) -> list[Slice]:
-    """Divides a day into seconds."""
-    made: list[Slice] = []
+    """Groups decisions, which are in order of time, into seconds."""
+    grouped: list[Slice] = []
     version = ""
     for line in lines:
         start = line.at - line.at % SLICE_SECONDS
-        if not made or made[-1].start != start:
-            made.append(
+        if not grouped or grouped[-1].start != start:
+            grouped.append(
                 Slice(start, collections.Counter(), collections.Counter())
             )
-        present = made[-1]
+        current = grouped[-1]
         if line.event in ENDS:
-            present.ends[line.values.get("code", "")] += 1
+            current.ends[line.values.get("code", "")] += 1
         elif line.event in CHANGES:
-            present.changes[line.event] += 1
+            current.changes[line.event] += 1
         if line.event == "pressure":
             level = float(line.values.get("level", 0))
-            present.pressure = max(present.pressure, level)
+            current.pressure = max(current.pressure, level)
         if line.event == "config_taken":
             version = line.values.get("version", "")
-        present.version = version
-    return made
+        current.version = version
+    return grouped
--- a/src/currantcart/telemetry/trace.py
+++ b/src/currantcart/telemetry/trace.py
@@ -1,7 +1,8 @@
-"""Spans for each hop, by OpenTelemetry, exported from the loop.
+"""OpenTelemetry spans for each hop, exported from the event loop.
 
-The SDK's own exporters post from a thread; here finished spans wait in a
-bounded list that a task of the loop sends, so a node stays on one thread.
+The exporters of the SDK post from a thread. Here finished spans are buffered
+in a bounded list and exported by a task of the event loop, so that a node
+stays single-threaded.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 
 def is_sampled(traceparent: str) -> bool:
-    """Tells whether a W3C trace context asks for spans."""
+    """Returns whether a W3C trace context has the sampled flag set."""
     return traceparent.endswith(SAMPLED_SUFFIX)
 
 
 class Tracing:
-    """Makes and exports spans; makes none when the exporter is `none`."""
+    """Creates and exports spans; does nothing if the exporter is `none`."""
 
     def __init__(
         self,
@@ -50,14 +51,17 @@
             self.tracer = self.build_tracer(instance)
 
     def build_tracer(self, instance: str) -> sdk_trace.Tracer:
-        """Loads the SDK, which nodes without tracing need not hold."""
+        """Returns a tracer of the SDK.
+
+        The SDK is imported here, so that nodes without tracing don't load it.
+        """
         from opentelemetry.sdk import resources
         from opentelemetry.sdk import trace as sdk
 
         tracing = self
 
         class Collect(sdk.SpanProcessor):
-            """Keeps finished spans for the loop's export task."""
+            """Passes finished spans to the export task of the event loop."""
 
             def on_end(self, span: sdk.ReadableSpan) -> None:
                 tracing.keep(span)
@@ -77,7 +81,7 @@
         return tracer
 
     def keep(self, span: sdk_trace.ReadableSpan) -> None:
-        """Keeps a finished span unless too many wait."""
+        """Buffers a finished span; drops it if the buffer is full."""
         if len(self.pending) < PENDING_MAX:
             self.pending.append(span)
         else:
@@ -88,10 +92,11 @@
 
         Args:
           name: Name of the span.
-          traceparent: Context that came with the call; empty for none.
+          traceparent: W3C trace context of the call; empty if it has none. The
+            sampling ratio of the settings then decides.
 
         Returns:
-          The hop, or None when it is not traced.
+          The hop, or None if it is not sampled.
         """
         if self.tracer is None:
             return None
@@ -103,7 +108,7 @@
         return Hop(self.tracer, name, traceparent)
 
     async def run(self) -> None:
-        """Exports finished spans until cancelled."""
+        """Exports finished spans periodically until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
                 await asyncio.sleep(FLUSH_SECONDS)
@@ -116,7 +121,7 @@
         spans: list[sdk_trace.ReadableSpan],
         session: aiohttp.ClientSession,
     ) -> None:
-        """Sends spans where the settings say."""
+        """Exports spans to the log or to the OTLP endpoint of the settings."""
         if self.settings.exporter is settings_model.TraceExporter.LOG:
             for span in spans:
                 self.log_span(span)
@@ -136,7 +141,7 @@
             self.logger.warning("spans lost", error=repr(error))
 
     def log_span(self, span: sdk_trace.ReadableSpan) -> None:
-        """Writes a span as one log line."""
+        """Logs a span as one line."""
         context = span.get_span_context()
         assert context is not None
         duration_ns = (span.end_time or 0) - (span.start_time or 0)
@@ -159,7 +164,7 @@
     """The span of one hop.
 
     Attributes:
-      traceparent: Context for the next hop.
+      traceparent: W3C trace context for the next hop.
     """
 
     def __init__(
@@ -176,7 +181,7 @@
         )
 
     def end(self, **attributes: str | int | float) -> None:
-        """Finishes the span."""
+        """Sets attributes on the span and ends it."""
         for name, value in attributes.items():
             self.span.set_attribute(name, value)
         self.span.end()
--- a/tests/telemetry/test_counts.py
+++ b/tests/telemetry/test_counts.py
@@ -1,4 +1,4 @@
-"""Counts and latencies as they are exposed."""
+"""Counters, histograms and gauges as Prometheus scrapes them."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from tests.fakes import mesh as fake_mesh
 
 
-def test_counts_and_latencies_are_exposed() -> None:
-    made = counts.Counts()
-    made.add("requests", "s", "2xx")
-    made.observe("request_seconds", 7.0, "s")
-    made.observe("request_seconds", 70_000.0, "s")
-    text = made.render().decode()
+def test_counters_and_histograms_are_exposed() -> None:
+    node_counts = counts.Counts()
+    node_counts.add("requests", "s", "2xx")
+    node_counts.observe("request_seconds", 7.0, "s")
+    node_counts.observe("request_seconds", 70_000.0, "s")
+    text = node_counts.render().decode()
     assert 'currantcart_requests_total{outcome="2xx",service="s"} 1.0' in text
     assert 'request_seconds_bucket{le="0.005",service="s"} 0.0' in text
     assert 'request_seconds_bucket{le="0.01",service="s"} 1.0' in text
     assert 'request_seconds_bucket{le="+Inf",service="s"} 2.0' in text
 
 
-def test_labels_are_bounded() -> None:
-    made = counts.Counts()
+def test_label_sets_are_bounded() -> None:
+    node_counts = counts.Counts()
     for number in range(2 * counts.LABEL_SETS_MAX):
-        made.add("rejections", f"code{number}")
-    assert len(made.counters["rejections"]) == counts.LABEL_SETS_MAX + 1
+        node_counts.add("rejections", f"code{number}")
+    assert len(node_counts.counters["rejections"]) == counts.LABEL_SETS_MAX + 1
 
 
-async def test_a_node_tells_its_state(mesh: fake_mesh.Mesh) -> None:
+async def test_node_exposes_its_state(mesh: fake_mesh.Mesh) -> None:
     place = await mesh.add("a")
     await mesh.settle()
     await mesh.ask(place, fake_mesh.request())
--- a/tests/telemetry/test_decisions.py
+++ b/tests/telemetry/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decision log: bounded, whole lines, never waiting."""
+"""The decision log: bounded, complete lines, never blocking."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Pipe:
-    """A reader that takes so many bytes at a time."""
+    """A pipe that accepts at most `room` bytes per write."""
 
     def __init__(self, room: int) -> None:
         self.room = room
@@ -27,7 +27,7 @@
 
 
 class Time:
-    """A clock that is moved by hand."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.at = 5_000.0
@@ -46,7 +46,7 @@
     )
 
 
-async def test_a_decision_is_one_line_of_pairs() -> None:
+async def test_decision_is_one_logfmt_line() -> None:
     pipe = Pipe(10_000)
     log = new_log(pipe, Time())
     log.event("refused", id="r1", code="queue_full", waiting=3)
@@ -55,9 +55,7 @@
     assert "event=refused instance=n1 id=r1 code=queue_full waiting=3" in line
 
 
-async def test_beyond_the_bound_lines_are_counted_and_the_count_is_told() -> (
-    None
-):
+async def test_lines_above_the_rate_limit_are_counted_and_reported() -> None:
     pipe, time = Pipe(10_000_000), Time()
     log = new_log(pipe, time)
     for _ in range(decisions.LINES_A_SECOND + 7):
@@ -69,9 +67,7 @@
     assert "event=lines_left_out instance=n1 n_refused=7" in pipe.lines[-2]
 
 
-async def test_a_reader_that_stands_still_costs_lines_and_nothing_else() -> (
-    None
-):
+async def test_full_pipe_drops_lines_and_does_not_block() -> None:
     pipe, time = Pipe(0), Time()
     log = new_log(pipe, time)
     log.event("refused")
@@ -84,8 +80,8 @@
     assert "event=bytes_left_out" in pipe.lines[0]
 
 
-async def test_a_line_that_was_written_in_part_is_finished() -> None:
-    """A pipe takes a part of what is written when it is nearly full."""
+async def test_partially_written_line_is_completed() -> None:
+    """A pipe that is nearly full accepts only a part of a write."""
     pipe = Pipe(30)
     log = new_log(pipe, Time())
     log.event("first", n=1)
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Logs, metrics, spans and the record of decisions."""
+"""Logs, metrics, spans and the history of decisions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert line.split(" ", maxsplit=1)[1] == snapshot
 
 
-def test_record_is_bounded_and_finds_a_whole_chain() -> None:
+def test_history_is_bounded_and_finds_a_complete_chain() -> None:
     recorder = record.Recorder(wall=lambda: 0.0, most=3)
     for root, call in (("a", "a"), ("a", "b"), ("c", "c"), ("a", "d")):
         recorder.note(
@@ -39,8 +39,8 @@
     assert recorder.find("none") == []
 
 
-async def test_each_hop_has_a_span_below_the_one_before(world: World) -> None:
-    """The way of a call through two services is one trace."""
+async def test_span_of_each_hop_is_child_of_previous_hop(world: World) -> None:
+    """The path of a call through two services is one trace."""
     trace = {"exporter": "log", "ratio": 1}
     await world.start("grades-1", "grades", trace=trace)
     await world.start("permits-1", "permits", calls=("/grades/a",), trace=trace)
@@ -61,8 +61,8 @@
     assert sum(span["parent_id"] in own for span in spans) == 3
 
 
-async def test_spans_go_out_as_otlp(world: World) -> None:
-    """The collector of the operators reads protobuf over HTTP."""
+async def test_spans_are_exported_as_otlp(world: World) -> None:
+    """Trace collectors receive OTLP as protobuf over HTTP."""
     trace = {"exporter": "otlp", "ratio": 1, "endpoint": "http://10.9.9.9/v1"}
     place = await world.start("grades-1", "grades", trace=trace)
     await world.settle()
@@ -70,7 +70,7 @@
     posted: list[tuple[str, bytes]] = []
 
     class Session:
-        """Takes what would be posted."""
+        """Records the requests instead of sending them."""
 
         def post(self, url: str, *, data: bytes, **rest: object) -> Session:
             del rest
@@ -101,7 +101,7 @@
     assert (url, sorted(names)) == (trace["endpoint"], ["call", "target"])
 
 
-async def test_unsampled_trace_context_is_passed_on(world: World) -> None:
+async def test_unsampled_trace_context_is_propagated(world: World) -> None:
     place = await world.start("grades-1", "grades")
     await world.settle()
     seen: list[str] = []
