--- a/src/currantcart/cli/__init__.py
+++ b/src/currantcart/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Commands of the command line."""
--- a/src/currantcart/cli/base.py
+++ b/src/currantcart/cli/base.py
@@ -1,4 +1,4 @@
-"""What all commands share."""
+"""Options, errors and the base class that all commands share."""
 
 from __future__ import annotations
 
@@ -38,17 +38,21 @@
 
 
 class UsageError(errors.CurrantcartError):
-    """A command line that cannot be carried out as written."""
+    """Invalid usage of the command line."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(errors.Code.BAD_REQUEST, errors.Step.COMMAND, detail)
 
 
 class BaseCommand(command.Command):
-    """A command with the options that it names."""
+    """Base class of all commands, with readers for shared options."""
 
     def address(self, name: str, variable: str) -> str:
-        """Returns an address from an option or the environment."""
+        """Returns an address from an option or an environment variable.
+
+        Raises:
+          UsageError: The address is missing or invalid.
+        """
         value = self.option(name) or os.environ.get(variable, "")
         try:
             return settings_model.check_address(value)
@@ -58,14 +62,18 @@
             ) from error
 
     def settings_path(self) -> pathlib.Path:
-        """Returns the settings file that was named."""
+        """Returns the path given by `--settings`.
+
+        Raises:
+          UsageError: The option is missing.
+        """
         path = self.option("settings")
         if not path:
             raise UsageError("--settings FILE is required")
         return pathlib.Path(path)
 
     def edit(self, work: Callable[[edits.Editor], Awaitable[Value]]) -> Value:
-        """Runs work with an editor on the store."""
+        """Runs `work` with an editor on the configuration store."""
 
         async def run() -> Value:
             store = store_http.HttpStore(self.address("store", STORE_VARIABLE))
@@ -81,7 +89,11 @@
         return asyncio.run(run())
 
     def number(self, name: str) -> float | None:
-        """Returns a numeric option, or None without it."""
+        """Returns a numeric option, or None if it is not given.
+
+        Raises:
+          UsageError: The value is not a number.
+        """
         text = self.option(name)
         if text is None:
             return None
@@ -94,10 +106,10 @@
 
 
 async def ask_node(address: str, path: str) -> Any:
-    """Reads JSON from a node's admin port.
+    """Requests JSON from the admin port of a node.
 
     Raises:
-      errors.CurrantcartError: The node does not answer.
+      errors.CurrantcartError: The node did not respond.
     """
     timeout = aiohttp.ClientTimeout(total=ADMIN_SECONDS_MAX)
     try:
--- a/src/currantcart/cli/fleet.py
+++ b/src/currantcart/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask running nodes."""
+"""Commands that query running nodes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 async def ask_members(
     address: str, path: str
 ) -> list[tuple[dict[str, Any], Any]]:
-    """Asks every member that a node knows.
+    """Queries every member that a node knows.
 
     Returns:
-      Pairs of the member and its answer; the answer is None when it gave
-      none.
+      Pairs of a member and its response. The response is None if the member
+      did not respond, or is dead or leaving.
     """
     known = await base.ask_node(address, "/status")
     members = sorted(known["members"], key=lambda m: str(m["instance"]))
@@ -47,7 +47,7 @@
 
 
 def status_row(member: dict[str, Any], answer: Any) -> list[str]:
-    """Returns one line of the fleet's status."""
+    """Returns the row of one member in the status table."""
     row = [
         member["instance"],
         member["service"],
@@ -68,10 +68,11 @@
 
 
 async def wait_in_force(address: str, revision: int) -> list[str]:
-    """Waits until all members have a revision.
+    """Polls until all members have applied a revision.
 
     Returns:
-      The members not yet heard from when the time is over.
+      The instances that have not confirmed the revision when the time is over;
+      empty if all have.
     """
     missing: list[str] = []
     for _ in range(IN_FORCE_POLLS):
@@ -89,14 +90,14 @@
 
 
 class StatusCommand(base.BaseCommand):
-    """Shows the fleet."""
+    """Shows the state of all members of the fleet."""
 
     name = "status"
     description = "Shows the fleet as one node knows it."
     options: ClassVar[list[Option]] = base.ADMIN_OPTIONS
 
     def handle(self) -> int:
-        """Asks the node and every member it knows."""
+        """Queries the node and every member it knows, and prints the table."""
         address = self.address("admin", base.ADMIN_VARIABLE)
         answers = asyncio.run(ask_members(address, "/status"))
         rows = [status_row(member, answer) for member, answer in answers]
@@ -105,7 +106,7 @@
 
 
 class ExplainCommand(base.BaseCommand):
-    """Tells one call's way."""
+    """Shows the path of one call through the fleet."""
 
     name = "explain"
     description = "Tells the way of a call and its chain through the fleet."
@@ -121,10 +122,10 @@
     ]  # fmt: skip
 
     def handle(self) -> int:
-        """Reads logs, or asks all members, for decisions on the call."""
+        """Prints the decisions on the call, from log files or all members."""
         if self.option("logs"):
-            rows = logs.way_rows(self.argument("call_id"), self.option("logs"))
-            output.table(self, logs.WAY_COLUMNS, rows)
+            rows = logs.path_rows(self.argument("call_id"), self.option("logs"))
+            output.table(self, logs.PATH_COLUMNS, rows)
             return 0
         address = self.address("admin", base.ADMIN_VARIABLE)
         call_id = self.argument("call_id")
@@ -138,7 +139,7 @@
             raise errors.CurrantcartError(
                 errors.Code.NOT_FOUND,
                 errors.Step.COMMAND,
-                f"no node remembers call {call_id}",
+                f"no node has a recorded decision on call {call_id}",
                 peer=address,
             )
         decisions.sort(key=lambda decision: float(decision["wall_ms"]))
--- a/src/currantcart/cli/logs.py
+++ b/src/currantcart/cli/logs.py
@@ -1,4 +1,4 @@
-"""Commands that read decision logs: a request's way, a day's timeline."""
+"""Commands that read decision logs: request paths, timelines and losses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 FILES_ARGUMENT = argument("files", "Log files or folders.", multiple=True)
 PICTURE_OPTION = option("picture", None, "Draw it into a file.", flag=False)
-WAY_COLUMNS = ["at_ms", "instance", "event", "what"]
+PATH_COLUMNS = ["at_ms", "instance", "event", "what"]
 LOSS_COLUMNS = [
     "route", "cause", "requests", "worth", "share", "worst_second",
 ]  # fmt: skip
@@ -24,25 +24,25 @@
 
 
 def log_files(names: list[str]) -> list[pathlib.Path]:
-    """Returns the files that are named, those of folders included."""
+    """Returns the named files, and the files in the named folders."""
     paths: list[pathlib.Path] = []
     for path in map(pathlib.Path, names):
         paths += sorted(path.iterdir()) if path.is_dir() else [path]
     return [path for path in paths if not path.is_dir()]
 
 
-def way_rows(request_id: str, names: list[str]) -> list[list[str]]:
-    """Returns a request's way as rows.
+def path_rows(request_id: str, names: list[str]) -> list[list[str]]:
+    """Returns the logged decisions on a request as table rows.
 
     Raises:
-      errors.CurrantcartError: No line speaks of it.
+      errors.CurrantcartError: No log line has the request's id.
     """
     lines = timeline.way_of(request_id, timeline.read(log_files(names)))
     if not lines:
         raise errors.CurrantcartError(
             errors.Code.NOT_FOUND,
             errors.Step.COMMAND,
-            f"no line speaks of {request_id}; a request that went well has "
+            f"no log line for request {request_id}; a successful request has "
             "none",
         )
     start = lines[0].at
@@ -58,15 +58,17 @@
 
 
 def counted(counts: collections.Counter[str]) -> str:
-    """Returns counts as text, the most first."""
+    """Formats counts as `name:count`, the highest first."""
     return " ".join(f"{name}:{n}" for name, n in counts.most_common())
 
 
 def parse_worth(text: str) -> tuple[str, losses.Worth]:
-    """Reads `ROUTE=WORTH` or `ROUTE=WORTH:LATE`.
+    """Parses `ROUTE=WORTH` or `ROUTE=WORTH:LATE`.
+
+    A late answer has no value unless LATE is given.
 
     Raises:
-      base.UsageError: It is neither.
+      base.UsageError: The text has neither form.
     """
     route, _, numbers = text.partition("=")
     in_time, _, late = numbers.partition(":")
@@ -82,7 +84,7 @@
 
 
 class IncidentCommand(base.BaseCommand):
-    """Tells a day's timeline."""
+    """Shows the timeline of an incident."""
 
     name = "incident"
     description = "Tells what happened in each second, from decision logs."
@@ -93,32 +95,34 @@
     ]
 
     def handle(self) -> int:
-        """Reads the files and tells each second."""
-        made = timeline.slices(timeline.read(log_files(self.argument("files"))))
-        if not made:
+        """Prints the events of each second, and draws them on request."""
+        slices = timeline.slices(
+            timeline.read(log_files(self.argument("files")))
+        )
+        if not slices:
             raise errors.CurrantcartError(
                 errors.Code.NOT_FOUND,
                 errors.Step.COMMAND,
-                "the files hold no decisions",
+                "the log files contain no decisions",
             )
         rows = [
             [
-                f"{item.start - made[0].start:.0f}",
+                f"{item.start - slices[0].start:.0f}",
                 item.version,
                 f"{item.pressure:.2f}",
                 counted(item.changes),
                 counted(item.ends),
             ]
-            for item in made
+            for item in slices
         ]
         output.table(self, DAY_COLUMNS, rows)
         if self.option("picture"):
-            pictures.draw_day(made, pathlib.Path(self.option("picture")))
+            pictures.draw_day(slices, pathlib.Path(self.option("picture")))
         return 0
 
 
 class LossesCommand(base.BaseCommand):
-    """Totals what was lost, by cause."""
+    """Totals lost requests by route and cause."""
 
     name = "losses"
     description = "Totals the requests that were lost by cause, from logs."
@@ -136,7 +140,7 @@
     ]
 
     def handle(self) -> int:
-        """Reads the files and tells each cause, the costliest first."""
+        """Prints the losses, greatest value first; draws them on request."""
         worths = dict(map(parse_worth, self.option("worth")))
         lines = timeline.read(log_files(self.argument("files")))
         found = losses.of(lines, worths)
@@ -144,7 +148,7 @@
             raise errors.CurrantcartError(
                 errors.Code.NOT_FOUND,
                 errors.Step.COMMAND,
-                "the files tell of no lost request",
+                "the log files contain no lost request",
             )
         total = sum(loss.worth for loss in found)
         rows = [
--- a/src/currantcart/cli/node.py
+++ b/src/currantcart/cli/node.py
@@ -1,4 +1,4 @@
-"""Commands of a node's machine: run it, check its settings."""
+"""Commands that run a node and check its settings."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     options: ClassVar[list[Option]] = [base.SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Runs until a signal."""
-        # Only this command needs the node; the others start faster without.
+        """Runs the node until it is stopped by a signal."""
+        # Imported here because the other commands start faster without it.
         from currantcart.node import serve
 
         settings = settings_model.load(self.settings_path())
@@ -42,7 +42,7 @@
     options: ClassVar[list[Option]] = [base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Validates the file."""
+        """Validates the settings file."""
         path = self.argument("file")
         settings = settings_model.load(pathlib.Path(path))
         settings.secret()
--- a/src/currantcart/cli/output.py
+++ b/src/currantcart/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of commands: for people, or JSON."""
+"""Output of commands, as text or JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     columns: Sequence[str],
     rows: Sequence[Sequence[str]],
 ) -> None:
-    """Writes rows in aligned columns, or as a list of JSON objects."""
+    """Prints rows in aligned columns, or as a list of JSON objects."""
     if shown.option("json"):
         records = [dict(zip(columns, row, strict=True)) for row in rows]
         shown.line(json.dumps(records))
@@ -34,12 +34,12 @@
 def result(
     shown: command.Command, text: str, **fields: str | int | float | bool
 ) -> None:
-    """Writes one outcome as a line, or as a JSON object."""
+    """Prints one result as a line of text, or as a JSON object."""
     shown.line(json.dumps(fields) if shown.option("json") else text)
 
 
 def accepted(shown: command.Command, edit: edits.Accepted) -> None:
-    """Writes that an edit was accepted."""
+    """Prints the revision and summary of an accepted edit."""
     result(
         shown,
         f"accepted as revision {edit.revision}: {edit.summary}",
--- a/src/currantcart/cli/pictures.py
+++ b/src/currantcart/cli/pictures.py
@@ -1,4 +1,4 @@
-"""Pictures of what decision logs tell."""
+"""Charts of timelines and losses from decision logs."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def new_figure(height: float) -> Any:
-    """Returns an empty figure.
+    """Returns an empty figure of a given height in inches.
 
     Raises:
-      errors.CurrantcartError: The drawing library is not there.
+      errors.CurrantcartError: matplotlib is not installed.
     """
     try:
         from matplotlib import figure
@@ -23,49 +23,49 @@
         raise errors.CurrantcartError(
             errors.Code.NOT_FOUND,
             errors.Step.COMMAND,
-            "--picture needs matplotlib",
+            "--picture requires matplotlib, which is not installed",
         ) from error
     return figure.Figure(figsize=(10, height))
 
 
-def draw_day(made: list[timeline.Slice], target: pathlib.Path) -> None:
-    """Draws a day's timeline.
+def draw_day(slices: list[timeline.Slice], path: pathlib.Path) -> None:
+    """Draws a timeline: failures, pressure and configuration changes.
 
     Raises:
-      errors.CurrantcartError: The drawing library is not there.
+      errors.CurrantcartError: matplotlib is not installed.
     """
-    start = made[0].start
-    seconds = [item.start - start for item in made]
-    drawn = new_figure(6)
-    failed, changed = drawn.subplots(2, 1, sharex=True)
-    codes = sorted({code for item in made for code in item.ends})
+    start = slices[0].start
+    seconds = [item.start - start for item in slices]
+    chart = new_figure(6)
+    failed, changed = chart.subplots(2, 1, sharex=True)
+    codes = sorted({code for item in slices for code in item.ends})
     failed.stackplot(
-        seconds, [[item.ends[code] for item in made] for code in codes],
+        seconds, [[item.ends[code] for item in slices] for code in codes],
         labels=codes,
     )  # fmt: skip
     failed.set_ylabel("failed a second")
     if codes:
         failed.legend(fontsize="x-small")
-    changed.step(seconds, [item.pressure for item in made], label="pressure")
+    changed.step(seconds, [item.pressure for item in slices], label="pressure")
     changed.set_ylabel("highest pressure")
     changed.set_xlabel("seconds")
-    for item in made:
+    for item in slices:
         if item.changes["config_taken"]:
             changed.axvline(item.start - start, linewidth=0.3)
-    drawn.savefig(target)
+    chart.savefig(path)
 
 
-def draw_losses(found: list[losses.Loss], target: pathlib.Path) -> None:
-    """Draws what was lost in each second, the costliest causes apart.
+def draw_losses(found: list[losses.Loss], path: pathlib.Path) -> None:
+    """Draws the lost requests per second, for the causes that cost most.
 
     Raises:
-      errors.CurrantcartError: The drawing library is not there.
+      errors.CurrantcartError: matplotlib is not installed.
     """
     last = max(max(loss.by_second) for loss in found)
     seconds = list(range(last + 1))
     shown = found[:SERIES_MAX]
-    drawn = new_figure(4)
-    axes = drawn.subplots()
+    chart = new_figure(4)
+    axes = chart.subplots()
     axes.stackplot(
         seconds,
         [[loss.by_second[second] for second in seconds] for loss in shown],
@@ -74,4 +74,4 @@
     axes.set_ylabel("lost a second")
     axes.set_xlabel("seconds")
     axes.legend(fontsize="x-small")
-    drawn.savefig(target)
+    chart.savefig(path)
--- a/src/currantcart/cli/proxy.py
+++ b/src/currantcart/cli/proxy.py
@@ -1,4 +1,4 @@
-"""Commands for a node that a platform starts, and for its configuration."""
+"""Commands for nodes that a platform deploys, and their configuration."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class ProxyCommand(base.BaseCommand):
-    """Runs a node of a platform's deployment."""
+    """Runs a node that a platform deploys."""
 
     name = "proxy"
     description = "Runs the node beside a target of a platform's deployment."
     options: ClassVar[list[Option]] = [base.SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Runs until a signal."""
-        # Only this command needs the fast loop.
+        """Runs the node until it is stopped by a signal."""
+        # Imported here because only this command needs the fast event loop.
         from currantcart.proxy import serve
 
         return serve.run(self.settings_path())
 
 
 class ProxyCheckCommand(base.BaseCommand):
-    """Checks the settings of such a node."""
+    """Checks the settings of a node that a platform deploys."""
 
     name = "proxy check"
     description = "Checks a settings file of a platform's deployment."
@@ -39,7 +39,7 @@
     options: ClassVar[list[Option]] = [base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Validates the file."""
+        """Validates the settings file."""
         path = self.argument("file")
         settings = proxy_settings.load(pathlib.Path(path))
         output.result(
@@ -49,7 +49,7 @@
 
 
 class ConfigCheckCommand(base.BaseCommand):
-    """Checks an operator's configuration."""
+    """Checks the configuration of a platform's operator."""
 
     name = "config check"
     description = "Checks a configuration of a platform's operator."
@@ -59,7 +59,7 @@
     options: ClassVar[list[Option]] = [base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Reads the file into the catalog."""
+        """Parses the configuration and prints a summary."""
         path = pathlib.Path(self.argument("file"))
         catalog = config.parse(files.read(path))
         routes = sum(map(len, catalog.routes.values()))
--- a/src/currantcart/cli/services.py
+++ b/src/currantcart/cli/services.py
@@ -1,4 +1,4 @@
-"""Commands on the services text and on the configuration's history."""
+"""Commands on the services text and the configuration history."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_services(path: str) -> graph_document.ServicesText:
-    """Reads and checks a services text."""
+    """Reads and validates a services text."""
     text = jsonc.read_file(
         pathlib.Path(path), code=errors.Code.SERVICES_INVALID
     )
@@ -28,7 +28,7 @@
 
 
 class ServicesCheckCommand(base.BaseCommand):
-    """Checks a services text."""
+    """Validates a services text."""
 
     name = "services check"
     description = "Checks a services text."
@@ -36,7 +36,7 @@
     options: ClassVar[list[Option]] = [base.JSON_OPTION]
 
     def handle(self) -> int:
-        """Validates the file."""
+        """Validates the file and prints the number of services."""
         path = self.argument("file")
         count = len(read_services(path).services)
         output.result(
@@ -46,7 +46,7 @@
 
 
 class ServicesApplyCommand(base.BaseCommand):
-    """Puts a services text in force."""
+    """Applies a services text to the stored configuration."""
 
     name = "services apply"
     description = "Puts a services text in force."
@@ -60,13 +60,13 @@
     ]  # fmt: skip
 
     def handle(self) -> int:
-        """Makes the edit."""
+        """Stores the services text as a new revision."""
         text = read_services(self.argument("file"))
-        seen = self.number("base")
+        expected = self.number("base")
         accepted = self.edit(
             lambda editor: editor.apply(
                 changes.apply_services(text),
-                base_revision=None if seen is None else int(seen),
+                base_revision=None if expected is None else int(expected),
             )
         )
         output.accepted(self, accepted)
@@ -74,14 +74,14 @@
 
 
 class ServicesShowCommand(base.BaseCommand):
-    """Shows the services in force."""
+    """Shows the stored services text."""
 
     name = "services show"
     description = "Shows the stored services text."
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Prints the stored text, which is JSON in either form."""
+        """Prints the stored text, which is JSON with and without `--json`."""
         current, _ = self.edit(lambda editor: editor.read())
         text = current.services.model_dump(mode="json", exclude_defaults=True)
         text.setdefault("services", {})
@@ -95,7 +95,7 @@
 
 
 class UndoCommand(base.BaseCommand):
-    """Undoes a change."""
+    """Reverts an accepted change of the configuration."""
 
     name = "undo"
     description = "Undoes a change of services or workspaces, as a new one."
@@ -105,7 +105,7 @@
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Makes the edit."""
+        """Stores the reverted change as a new revision."""
         text = self.argument("revision")
         if not text.isdecimal():
             raise base.UsageError(
@@ -117,14 +117,14 @@
 
 
 class HistoryCommand(base.BaseCommand):
-    """Lists accepted changes."""
+    """Lists accepted changes of the configuration."""
 
     name = "history"
     description = "Lists the accepted changes of the configuration."
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Prints the history."""
+        """Prints the history of the configuration."""
         current, _ = self.edit(lambda editor: editor.read())
         rows = [
             [str(r.revision), r.author, f"{r.wall_ms:.0f}", r.summary]
--- a/src/currantcart/cli/workspaces.py
+++ b/src/currantcart/cli/workspaces.py
@@ -1,4 +1,4 @@
-"""Commands on workspaces and keys."""
+"""Commands that manage workspaces and their API keys."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     options: ClassVar[list[Option]] = [*base.STORE_OPTIONS, *LIMIT_OPTIONS]
 
     def handle(self) -> int:
-        """Makes the edit."""
+        """Validates the workspace and stores it as a new revision."""
         name = self.argument("name")
         values = {
             "rate": self.option("rate"),
@@ -71,7 +71,7 @@
     options: ClassVar[list[Option]] = [*base.STORE_OPTIONS, *LIMIT_OPTIONS]
 
     def handle(self) -> int:
-        """Makes the edit."""
+        """Stores the new limits as a new revision."""
         change = changes.set_workspace(
             self.argument("name"),
             rate=self.number("rate"),
@@ -87,14 +87,14 @@
 
 
 class WorkspaceListCommand(base.BaseCommand):
-    """Lists the workspaces."""
+    """Lists the workspaces and their limits."""
 
     name = "workspace list"
     description = "Lists the workspaces."
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Prints them."""
+        """Prints the workspaces."""
         current, _ = self.edit(lambda editor: editor.read())
         rows = [
             [name, f"{w.rate:g}", f"{w.burst:g}", w.importance]
@@ -105,7 +105,7 @@
 
 
 class KeyGiveCommand(base.BaseCommand):
-    """Gives a key to a workspace."""
+    """Creates an API key for a workspace."""
 
     name = "key give"
     description = "Gives a new key to a workspace, and shows it this once."
@@ -113,7 +113,7 @@
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Makes the edit and prints the key."""
+        """Stores a new key and prints it; it cannot be shown again."""
         key = workspace_model.new_key()
         key_id = secrets.token_hex(KEY_ID_BYTES)
         change = changes.give_key(self.argument("name"), key=key, key_id=key_id)
@@ -129,7 +129,7 @@
 
 
 class KeyWithdrawCommand(base.BaseCommand):
-    """Withdraws a key."""
+    """Revokes an API key."""
 
     name = "key withdraw"
     description = "Withdraws a key."
@@ -137,7 +137,12 @@
     options: ClassVar[list[Option]] = [*base.STORE_OPTIONS, base.ADMIN_OPTION]
 
     def handle(self) -> int:
-        """Makes the edit, and with a node to ask says where it is in force."""
+        """Revokes the key; given a node, waits until all members confirm it.
+
+        Raises:
+          errors.CurrantcartError: The edit was refused, or was accepted but is
+            not confirmed by all members.
+        """
         change = changes.withdraw_key(self.argument("key_id"))
         accepted = self.edit(lambda editor: editor.apply(change))
         output.accepted(self, accepted)
@@ -149,21 +154,21 @@
             raise errors.CurrantcartError(
                 errors.Code.PEER_UNREACHABLE,
                 errors.Step.COMMAND,
-                f"accepted, but not heard from {', '.join(missing)}",
+                f"accepted, but not confirmed by {', '.join(missing)}",
             )
         output.result(self, "in force everywhere", in_force=True)
         return 0
 
 
 class KeyListCommand(base.BaseCommand):
-    """Lists the keys."""
+    """Lists the API keys."""
 
     name = "key list"
     description = "Lists the ids of the keys in force."
     options: ClassVar[list[Option]] = base.STORE_OPTIONS
 
     def handle(self) -> int:
-        """Prints them."""
+        """Prints the id and workspace of each key."""
         current, _ = self.edit(lambda editor: editor.read())
         rows = [
             [key_id, key.workspace]
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against a store in memory, and its errors."""
+"""Commands against an in-memory store, and error output."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class CommandStore(MemoryStore):
-    """A store that commands open by address."""
+    """An in-memory store in the place of the HTTP store."""
 
     async def close(self) -> None:
-        """Holds nothing open."""
+        """Does nothing: there is no connection to close."""
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 
 def command(text: str) -> Any:
-    """Runs a command and returns its JSON."""
+    """Runs a command with `--json` and returns its parsed output."""
     words = text.split(" ")
     application = run.build_application()
     for count in (2, 1):
@@ -47,7 +47,7 @@
     return json.loads(tester.io.fetch_output())
 
 
-def test_workspace_and_key_over_their_life(store: CommandStore) -> None:
+def test_workspace_and_key_lifecycle(store: CommandStore) -> None:
     command(f"services apply {SERVICES}")
     command("workspace create mill --rate 10 --burst 5")
     command("workspace set mill --rate 20 --importance important")
@@ -97,7 +97,7 @@
 
 
 async def unreachable(address: str, path: str) -> None:
-    """Fails as a node does that is not there."""
+    """Fails like a node that refuses connections."""
     del path
     raise errors.CurrantcartError(
         errors.Code.PEER_UNREACHABLE,
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -1,4 +1,4 @@
-"""Commands that read decision logs and the platform's files."""
+"""Commands that read decision logs and platform configurations."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 """
 
 
-def tell(name: str, words: str) -> str:
+def run_command(name: str, words: str) -> str:
     application = run.build_application()
     tester = command_tester.CommandTester(application.find(name))
     assert tester.execute(words) == 0
@@ -39,8 +39,8 @@
     return path
 
 
-def test_a_requests_way_is_told_from_logs(log: pathlib.Path) -> None:
-    rows = json.loads(tell("explain", f"r1 --logs {log} --json"))
+def test_explain_shows_request_path_from_logs(log: pathlib.Path) -> None:
+    rows = json.loads(run_command("explain", f"r1 --logs {log} --json"))
     assert [row["event"] for row in rows] == [
         "refused_by_guard",
         "request_failed",
@@ -48,41 +48,41 @@
     assert "waiting=12" in rows[0]["what"]
 
 
-def test_a_request_that_no_line_speaks_of_is_an_error(
+def test_request_without_log_lines_is_an_error(
     log: pathlib.Path,
 ) -> None:
     with pytest.raises(errors.CurrantcartError):
-        tell("explain", f"r2 --logs {log}")
+        run_command("explain", f"r2 --logs {log}")
 
 
-def test_a_day_is_told_second_by_second(log: pathlib.Path) -> None:
-    rows = json.loads(tell("incident", f"{log.parent} --json"))
+def test_incident_lists_each_second(log: pathlib.Path) -> None:
+    rows = json.loads(run_command("incident", f"{log.parent} --json"))
     assert [row["second"] for row in rows] == ["0", "1"]
     assert rows[0]["version"] == "7"
     assert rows[0]["failed"] == "queue_full:1"
     assert rows[1]["pressure"] == "0.40"
 
 
-def test_a_day_is_drawn(log: pathlib.Path) -> None:
+def test_incident_draws_the_timeline(log: pathlib.Path) -> None:
     picture = log.parent / "day.png"
-    tell("incident", f"{log} --picture {picture}")
+    run_command("incident", f"{log} --picture {picture}")
     assert picture.read_bytes().startswith(b"\x89PNG")
 
 
-def test_a_configuration_is_checked(tmp_path: pathlib.Path) -> None:
+def test_config_check_prints_a_summary(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(fake_mesh.document(7))
-    told = json.loads(tell("config check", f"{path} --json"))
-    assert (told["version"], told["routes"]) == (7, 3)
+    summary = json.loads(run_command("config check", f"{path} --json"))
+    assert (summary["version"], summary["routes"]) == (7, 3)
 
 
-def test_an_unreadable_configuration_is_told_with_its_place(
+def test_error_of_invalid_configuration_names_the_field(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"version": "seven", "routes": 1}')
     with pytest.raises(errors.CurrantcartError, match=r"version"):
-        tell("config check", str(path))
+        run_command("config check", str(path))
 
 
 LOST = """
@@ -110,10 +110,10 @@
     return path
 
 
-def test_losses_are_told_by_route_and_cause(lost: pathlib.Path) -> None:
-    """A payment fails because a call three services down was refused."""
+def test_losses_are_totalled_by_route_and_cause(lost: pathlib.Path) -> None:
+    """A payment fails because a call two levels below it was refused."""
     words = f"{lost} --worth pay=3:1 --worth read=1:0.5 --json"
-    rows = json.loads(tell("losses", words))
+    rows = json.loads(run_command("losses", words))
     assert [(row["route"], row["cause"], row["worth"]) for row in rows] == [
         ("pay", "chain: queue_full at grades", "3.0"),
         ("read", "rate_exceeded", "2.0"),
@@ -127,20 +127,18 @@
 
 def test_losses_are_drawn(lost: pathlib.Path) -> None:
     picture = lost.parent / "losses.png"
-    tell("losses", f"{lost} --picture {picture}")
+    run_command("losses", f"{lost} --picture {picture}")
     assert picture.read_bytes().startswith(b"\x89PNG")
 
 
 @pytest.mark.parametrize("worth", ["pay", "pay=much", "=3", "pay=3:x"])
-def test_a_worth_that_is_none_is_a_usage_error(
-    lost: pathlib.Path, worth: str
-) -> None:
+def test_invalid_worth_is_a_usage_error(lost: pathlib.Path, worth: str) -> None:
     with pytest.raises(base.UsageError, match="--worth"):
-        tell("losses", f"{lost} --worth {worth}")
+        run_command("losses", f"{lost} --worth {worth}")
 
 
-def test_without_losses_the_command_says_so(tmp_path: pathlib.Path) -> None:
+def test_logs_without_losses_are_an_error(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "calm.log"
     path.write_text(LOST.splitlines()[-1])
     with pytest.raises(errors.CurrantcartError, match="no lost request"):
-        tell("losses", str(path))
+        run_command("losses", str(path))
