--- a/src/currantcart/cli/logs.py
+++ b/src/currantcart/cli/logs.py
@@ -42,8 +42,8 @@
         raise errors.CurrantcartError(
             errors.Code.NOT_FOUND,
             errors.Step.COMMAND,
-            f"no log line for request {request_id}; a successful request has "
-            "none",
+            f"no log line for request {request_id}; most successful requests "
+            "have none",
         )
     start = lines[0].at
     return [
