--- a/src/currantcart/background.py
+++ b/src/currantcart/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on for as long as a node lives."""
+"""Background tasks that run for the lifetime of a node."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
 
 
 class Background:
-    """Background work of one node, started again when it fails.
+    """Background tasks of one node, restarted when they fail.
 
     Attributes:
-      tasks: What runs.
+      restart_seconds: Delay before failed work is restarted.
+      on_failure: Called with the exception each time work fails.
+      tasks: The running tasks.
     """
 
     def __init__(
@@ -28,19 +30,24 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def keep(self, work: Work) -> None:
-        """Runs work until it returns."""
+        """Starts a task that runs `work`, with restarts, until it returns."""
         self.hold(self.loop.create_task(self.supervise(work)))
 
     def hold(self, task: asyncio.Task[None]) -> None:
-        """Keeps a task from being collected while it runs."""
+        """Holds a reference to a task while it runs.
+
+        The event loop has only weak references, so the task could otherwise be
+        garbage collected before it is done.
+        """
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def supervise(self, work: Work) -> None:
-        """Runs work, and runs it again when it fails.
+        """Runs `work` until it returns, and restarts it when it raises.
 
-        Work that dies silently leaves a node that serves with an ever older
-        view; a log line and another start bound that.
+        If background work stopped unnoticed, the node would continue to serve
+        with increasingly stale state. Reporting the failure and restarting the
+        work limits that.
         """
         while True:
             try:
--- a/src/currantcart/clock.py
+++ b/src/currantcart/clock.py
@@ -1,7 +1,8 @@
-"""The one source of time, in milliseconds.
+"""The only source of time, in milliseconds.
 
-Decision code never asks the operating system for the time: it is handed
-`now` by a caller that owns a `Clock`. Tests pass a clock they move by hand.
+Code that makes decisions never reads the time from the operating system. It is
+passed `now` by a caller that has a `Clock`, so that tests can pass a clock that
+they control.
 """
 
 from __future__ import annotations
@@ -17,13 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Clock:
-    """A pair of time readings.
+    """A monotonic clock and a wall clock.
 
     Attributes:
-      now: Milliseconds that never run backwards; comparable only within one
-        process.
-      wall: Milliseconds since 1970 in UTC; may jump, so it serves only for
-        the time of day and for text that people read.
+      now: Returns monotonic milliseconds; comparable only within one process.
+      wall: Returns milliseconds since 1970 in UTC. It may jump, so it is used
+        only for the time of day and for text that people read.
     """
 
     now: Callable[[], float]
@@ -31,7 +31,7 @@
 
 
 def system_clock() -> Clock:
-    """Returns the clock of the machine."""
+    """Returns the system clock; `now` stops while the machine is suspended."""
     return Clock(
         now=lambda: time.monotonic_ns() / 1e6,
         wall=lambda: time.time_ns() / 1e6,
@@ -39,11 +39,11 @@
 
 
 def suspend_aware_clock() -> Clock:
-    """Returns the clock of the machine that also counts suspension.
+    """Returns a system clock whose `now` advances during suspension.
 
-    Leases and the freshness of the configuration run on while a machine is
-    suspended; the usual steady clock stands still then, and a withdrawn key
-    would be served for that much longer.
+    Leases and the freshness of the configuration expire also while a machine
+    is suspended. The usual monotonic clock stops during suspension, so a
+    withdrawn key would be accepted for that much longer.
     """
     return Clock(
         now=lambda: time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6,
--- a/src/currantcart/eager.py
+++ b/src/currantcart/eager.py
@@ -1,9 +1,9 @@
-"""Starting a coroutine at once, without waiting for the loop's next turn.
+"""Eager start of coroutines, without waiting for the next loop iteration.
 
-`asyncio` begins a task in the next turn of the loop: one more queue entry and
-one more `select` for each call at each hop. Most of a call's first part never
-waits, so here it runs at once, and a task takes over where it first waits.
-Python 3.12 has this as eager tasks.
+`asyncio` starts a task in the next iteration of the event loop, which costs one
+more queue entry and one more `select` for each call at each hop. The first part
+of a call rarely waits, so it is run immediately here, and a task resumes the
+coroutine at its first wait. Python 3.12 has this as eager tasks.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @types.coroutine
 def resume(work: Work, awaited: Any) -> Generator[Any, Any, None]:
-    """Goes on with a coroutine that already waits for something.
+    """Resumes a started coroutine and runs it to its end.
 
     Args:
-      work: The started coroutine.
+      work: The coroutine, suspended at its first wait.
       awaited: What it waits for.
 
     Yields:
-      What it waits for, time after time, to the task that runs this.
+      Each object that the coroutine waits for, to the task that runs this.
     """
     while True:
         try:
@@ -44,11 +44,11 @@
 ) -> asyncio.Task[None] | None:
     """Runs a coroutine up to its first wait.
 
-    There is no current task in this first part, so `asyncio.timeout` cannot
-    be entered in it; `Expiry` can.
+    There is no current task before the first wait, so `asyncio.timeout` cannot
+    be entered there; `Expiry` can.
 
     Returns:
-      The task that goes on with it, or None when it has ended.
+      The task that resumes the coroutine, or None if it has already ended.
     """
     try:
         awaited = work.send(None)
@@ -58,10 +58,13 @@
 
 
 class Expiry:
-    """A time limit on the work inside a `with` block.
+    """A time-out for the body of a `with` block.
+
+    On expiry it calls `cancel`, which must cancel the task that runs the
+    block. The cancellation leaves the block as a `TimeoutError`.
 
     Attributes:
-      expired: Whether the limit ended the work.
+      expired: Whether the time-out has expired.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def expire(self) -> None:
-        """Ends the work."""
+        """Marks the time-out as expired and cancels the body."""
         self.expired = True
         self.cancel()
 
--- a/src/currantcart/errors.py
+++ b/src/currantcart/errors.py
@@ -1,4 +1,4 @@
-"""Errors with codes, the step at which they arose and the peer involved."""
+"""Errors with a code, the step at which they occurred and the peer involved."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Code(enum.StrEnum):
-    """Stable error codes; docs/reference/errors.md lists them for callers."""
+    """Stable error codes; docs/reference/errors.md documents them."""
 
     BAD_REQUEST = "bad_request"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -52,15 +52,15 @@
 
     @classmethod
     def of(cls, text: str) -> Code:
-        """Returns the code of a text; of an unknown one, `INTERNAL`.
+        """Returns the code with a given value, or `INTERNAL` if it is unknown.
 
-        A peer of a newer version may send codes that this one lacks.
+        A peer of a newer version may send codes that this version lacks.
         """
         return cls(text) if text in cls._value2member_map_ else cls.INTERNAL
 
 
 class Step(enum.StrEnum):
-    """The part of a call's way, or of an operation, where an error arose."""
+    """Steps of a call or an operation at which an error can occur."""
 
     PARSE = "parse"
     AUTHENTICATE = "authenticate"
@@ -82,7 +82,7 @@
 
     @classmethod
     def of(cls, text: str) -> Step:
-        """Returns the step of a text; of an unknown one, `WIRE`."""
+        """Returns the step with a given value, or `WIRE` if it is unknown."""
         return cls(text) if text in cls._value2member_map_ else cls.WIRE
 
 
@@ -119,13 +119,13 @@
 
 
 class CurrantcartError(Exception):
-    """Base of every error that the product raises on purpose.
+    """Base class of all expected errors.
 
     Attributes:
-      code: What went wrong, from a closed list.
-      step: Where on the way it went wrong.
-      peer: Instance or address involved; empty when there is none.
-      detail: One line for people.
+      code: Stable code of the error.
+      step: Step at which the error occurred.
+      peer: Instance or address involved; empty if there is none.
+      detail: Description for people, in one line.
     """
 
     def __init__(
@@ -138,18 +138,18 @@
         self.detail = detail
 
     def __str__(self) -> str:
-        """Returns the one line that a person sees."""
+        """Returns the error as one line with code, step and peer."""
         peer = f" peer={self.peer}" if self.peer else ""
         return f"[{self.code}] {self.detail} (step={self.step}{peer})"
 
 
 class Refusal(CurrantcartError):
-    """A call that ends without a target's answer.
+    """A call that ends without an answer from a target.
 
     Attributes:
-      not_run: True only when no byte of the call was handed to any target,
-        or the target itself said that it did not run it.
-      retry_after_ms: When coming back may help; 0 says nothing about it.
+      not_run: True only if no byte of the call was sent to any target, or if
+        the target reported that it did not run the call.
+      retry_after_ms: Delay after which a retry may succeed; 0 if unknown.
       shed_level: The priority up to which the refusing instance sheds, or
         `NO_SHEDDING`.
     """
@@ -172,19 +172,19 @@
 
     @property
     def status(self) -> int:
-        """HTTP status for the caller."""
+        """HTTP status of the response to the caller."""
         return HTTP_STATUS.get(self.code, DEFAULT_STATUS)
 
 
 class SettingsError(CurrantcartError):
-    """A settings file or services text that does not validate."""
+    """A settings file or services text is invalid."""
 
     def __init__(self, detail: str, *, code: Code, peer: str = "") -> None:
         super().__init__(code, Step.SETTINGS, detail, peer=peer)
 
 
 class StreamError(CurrantcartError):
-    """A fault that ends one stream between two nodes, and nothing else."""
+    """An error that ends one stream between two nodes, but no other."""
 
     def __init__(self, code: Code, detail: str, *, peer: str = "") -> None:
         super().__init__(code, Step.WIRE, detail, peer=peer)
--- a/src/currantcart/files.py
+++ b/src/currantcart/files.py
@@ -1,4 +1,4 @@
-"""Reading files that a command was given."""
+"""Reading of files that are named on the command line."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def read(path: pathlib.Path) -> bytes:
-    """Reads a file.
+    """Returns the content of a file.
 
     Raises:
-      errors.CurrantcartError: It can't be read.
+      errors.CurrantcartError: The file cannot be read.
     """
     try:
         return path.read_bytes()
--- a/src/currantcart/run.py
+++ b/src/currantcart/run.py
@@ -1,4 +1,4 @@
-"""Runs the command line and turns errors into one line and a status."""
+"""Command line entry point; maps errors to one line and an exit status."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def build_application() -> application.Application:
-    """Returns the command line application."""
+    """Returns the application with all commands registered."""
     built = application.Application("currantcart", currantcart.__version__)
     built.auto_exits(False)
     built.catch_exceptions(False)
@@ -60,7 +60,8 @@
     """Runs the command line.
 
     Returns:
-      0 when done, 1 when refused or failed, 2 for wrong usage.
+      Exit status: 0 on success, 1 if the command failed or was refused, 2 for
+      invalid usage.
     """
     try:
         return build_application().run()
@@ -76,5 +77,5 @@
 
 
 def run() -> None:
-    """Runs the command line and exits with its status."""
+    """Runs the command line and exits the process with its status."""
     sys.exit(main())
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Clocks of a node."""
+"""The suspend-aware clock."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 SECOND_NS = 1_000_000_000
 
 
-def test_a_suspension_counts_for_freshness(
+def test_suspension_counts_towards_freshness(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A machine is suspended for six seconds, and a key is withdrawn then."""
+    """A key may be withdrawn while the machine is suspended for 6 seconds."""
     boot_ns = 100 * SECOND_NS
     monkeypatch.setattr(
         time,
--- a/tests/test_eager.py
+++ b/tests/test_eager.py
@@ -1,4 +1,4 @@
-"""Coroutines that start at once."""
+"""Eager start of coroutines, and the time-out of their work."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     assert steps == ["first", "second", "third"]
 
 
-async def test_work_that_never_waits_needs_no_task() -> None:
+async def test_coroutine_that_never_waits_needs_no_task() -> None:
     async def work() -> None:
         return
 
     assert eager.start(asyncio.get_running_loop(), work()) is None
 
 
-async def test_cancelling_reaches_the_work() -> None:
+async def test_cancellation_reaches_the_coroutine() -> None:
     seen: list[str] = []
 
     async def work() -> None:
@@ -54,7 +54,7 @@
     assert seen == ["cancelled", "cleaned up"]
 
 
-async def test_expiry_ends_the_work_with_a_timeout() -> None:
+async def test_expiry_raises_timeout_error() -> None:
     loop = asyncio.get_running_loop()
     ended: list[float] = []
     tasks: list[asyncio.Task[None]] = []
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,12 +1,12 @@
-"""Errors that people and peers read."""
+"""Error codes of peers, and the text of errors."""
 
 from __future__ import annotations
 
 from currantcart import errors
 
 
-def test_codes_of_a_newer_peer_are_taken() -> None:
-    """The fleet is upgraded one instance at a time."""
+def test_unknown_codes_of_a_newer_peer_are_mapped() -> None:
+    """Versions are mixed while the fleet is upgraded instance by instance."""
     assert errors.Code.of("overloaded") is errors.Code.OVERLOADED
     assert errors.Code.of("invented_later") is errors.Code.INTERNAL
     assert errors.Step.of("invented_later") is errors.Step.WIRE
