--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,12 +1,12 @@
-"""Starts a node from the repository, without an installed package."""
+"""Starts a node from the repository, without installing the package."""
 
 from __future__ import annotations
 
 import signal
 
-# A signal to read the settings again may come while the process still starts;
-# its default is to end the process. Until there is a handler it is passed over:
-# the settings are read after this line anyway.
+# SIGHUP requests a reload of the settings, and may arrive during start-up, when
+# its default action would end the process. It is ignored until a handler is
+# installed: the settings are read after this line anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os  # noqa: E402
