--- a/bench/experiments/__init__.py
+++ b/bench/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""The experiments, one module each."""
+"""Experiments that measure real nodes or the real controllers."""
--- a/bench/experiments/demo.py
+++ b/bench/experiments/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: both deployments, mixed traffic, a table at the end."""
+"""Demonstration: both deployments under mixed traffic, results as a table."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 
 
 def print_table(outcomes: list[load.Outcome]) -> None:
-    """Prints what finished whole and what was refused, by workspace."""
+    """Prints complete and refused requests by workspace and kind."""
     rows: dict[tuple[str, str], list[load.Outcome]] = {}
     for outcome in outcomes:
         rows.setdefault((outcome.workspace, outcome.kind), []).append(outcome)
     print(f"{'workspace':<10}{'request':<9}{'sent':>6}{'whole':>7}  refused")
-    for (workspace, kind), found in sorted(rows.items()):
-        whole = sum(outcome.whole for outcome in found)
-        codes = collections.Counter(o.code for o in found if not o.whole)
+    for (workspace, kind), group in sorted(rows.items()):
+        complete = sum(outcome.whole for outcome in group)
+        codes = collections.Counter(o.code for o in group if not o.whole)
         refused = ", ".join(f"{n} {code}" for code, n in codes.most_common())
-        print(f"{workspace:<10}{kind:<9}{len(found):>6}{whole:>7}  {refused}")
+        print(
+            f"{workspace:<10}{kind:<9}{len(group):>6}{complete:>7}  {refused}"
+        )
 
 
 async def run_load(units: list[fleet.Unit], keys: dict[str, str]) -> load.Load:
-    """Sends the mixed traffic."""
+    """Sends the mixed traffic of all workspaces."""
     callers = [
         load.Caller(name, keys[name], deployments.board_kinds(1))
         for name in deployments.BOARD_WORKSPACES
@@ -32,7 +34,7 @@
         load.Caller(name, keys[name], deployments.hinokawa_kinds(1))
         for name in deployments.HINOKAWA_WORKSPACES
     ]
-    # One hotel sends far over its rate, to show what is refused and why.
+    # One hotel sends far above its rate, so that the table shows refusals.
     callers[-1].kinds = deployments.hinokawa_kinds(6)
     loader = load.Load([unit.callers for unit in units], seed=1)
     await loader.run(callers, seconds=SECONDS)
@@ -40,7 +42,11 @@
 
 
 def main() -> int:
-    """Runs the demonstration."""
+    """Runs the demonstration.
+
+    Returns:
+      0 if any request was answered completely, else 1.
+    """
     with fleet.open_fleet() as running:
         running.start_store()
         running.plan(deployments.behaviours())
@@ -52,6 +58,6 @@
         print(f"sending mixed traffic for {SECONDS:g} s ...")
         loader = asyncio.run(run_load(running.units, keys))
         print_table(loader.outcomes)
-    whole = sum(outcome.whole for outcome in loader.outcomes)
-    print(f"{whole} of {len(loader.outcomes)} requests finished whole")
-    return 0 if whole else 1
+    complete = sum(outcome.whole for outcome in loader.outcomes)
+    print(f"{complete} of {len(loader.outcomes)} requests finished whole")
+    return 0 if complete else 1
--- a/bench/experiments/fleetwide.py
+++ b/bench/experiments/fleetwide.py
@@ -1,4 +1,4 @@
-"""What all nodes share: configuration, withdrawal, membership, and its cost."""
+"""Measures fleet-wide state: configuration, key withdrawal, membership."""
 
 from __future__ import annotations
 
@@ -24,8 +24,12 @@
 Status = dict[str, Any]
 
 
-def open_units(running: fleet.Fleet, count: int) -> dict[str, str]:
-    """Starts a store and nodes of one service, and configures them."""
+def start_fleet(running: fleet.Fleet, count: int) -> dict[str, str]:
+    """Starts and configures a store and the nodes of one service.
+
+    Returns:
+      A key for each workspace.
+    """
     running.start_store()
     running.plan(
         {
@@ -41,8 +45,8 @@
     return keys
 
 
-class Watch:
-    """Asks all nodes for their status over kept connections."""
+class StatusPoller:
+    """Polls the status of nodes over persistent connections."""
 
     def __init__(
         self, session: aiohttp.ClientSession, units: list[fleet.Unit]
@@ -55,46 +59,57 @@
             found: Status = await response.json()
             return found
 
-    async def until(self, condition: Callable[[Status], bool]) -> list[float]:
-        """Returns when each node first met a condition, in seconds."""
+    async def wait_until(
+        self, condition: Callable[[Status], bool]
+    ) -> list[float]:
+        """Waits until every node meets a condition.
+
+        Returns:
+          Monotonic time at which each node first met it, in seconds.
+
+        Raises:
+          RuntimeError: A node does not meet it in `WAIT_SECONDS_MAX`.
+        """
 
-        async def one(unit: fleet.Unit) -> float:
+        async def wait_for(unit: fleet.Unit) -> float:
             end = time.monotonic() + WAIT_SECONDS_MAX
             while not condition(await self.status(unit)):
                 if time.monotonic() > end:
-                    raise RuntimeError(f"{unit.instance}: it never came")
+                    raise RuntimeError(
+                        f"{unit.instance}: condition not met in time"
+                    )
                 await asyncio.sleep(POLL_SECONDS)
             return time.monotonic()
 
-        return list(await asyncio.gather(*(one(u) for u in self.units)))
+        return list(await asyncio.gather(*(wait_for(u) for u in self.units)))
 
 
-def run_watched(
-    units: list[fleet.Unit], work: Callable[[Watch], Awaitable[Any]]
+def run_with_poller(
+    units: list[fleet.Unit], work: Callable[[StatusPoller], Awaitable[Any]]
 ) -> Any:
-    """Runs work with a watch."""
+    """Runs work with a status poller of the given nodes."""
 
     async def run() -> Any:
         async with aiohttp.ClientSession() as session:
-            return await work(Watch(session, units))
+            return await work(StatusPoller(session, units))
 
     return asyncio.run(run())
 
 
-def worst(values: list[float], percent: float) -> float:
-    """Returns a percentile of a short list, rounded up to a member."""
+def percentile_of(values: list[float], percent: float) -> float:
+    """Returns a percentile of a short list, rounded up to one of its values."""
     ordered = sorted(values)
     index = min(len(ordered) - 1, int(len(ordered) * percent / 100))
     return ordered[index]
 
 
 def has_revision(revision: int) -> Callable[[Status], bool]:
-    """Returns the condition that a node has a revision."""
+    """Returns the condition that a node has a revision or a later one."""
     return lambda found: bool(found["revision"] >= revision)
 
 
-async def edit(running: fleet.Fleet, number: int) -> int:
-    """Makes one edit with the command line and returns its revision."""
+async def edit_workspace(running: fleet.Fleet, number: int) -> int:
+    """Changes a workspace by the command line and returns the revision."""
     answer = await asyncio.to_thread(
         deployments.command,
         running.store, "workspace", "set", "mill-1",
@@ -103,8 +118,8 @@
     return int(answer["revision"])
 
 
-async def put_fault(running: fleet.Fleet, **faults: Any) -> None:
-    """Sets the faults of the store."""
+async def set_store_faults(running: fleet.Fleet, **faults: Any) -> None:
+    """Sets the faults that the store stand-in injects."""
     async with (
         aiohttp.ClientSession() as session,
         session.put(f"http://{running.store}/fault", json=faults) as answer,
@@ -113,37 +128,37 @@
 
 
 def config_main() -> int:
-    """Measures how long an accepted edit takes to be in force everywhere."""
+    """Measures the time from an accepted edit until all nodes apply it."""
     with fleet.open_fleet() as running:
-        open_units(running, NODES)
+        start_fleet(running, NODES)
 
-        async def work(watch: Watch) -> tuple[list[float], int, float]:
-            taken: list[float] = []
+        async def work(poller: StatusPoller) -> tuple[list[float], int, float]:
+            delays_ms: list[float] = []
             reverted = 0
-            before = await asyncio.gather(*map(watch.status, watch.units))
+            before = await asyncio.gather(*map(poller.status, poller.units))
             began = time.monotonic()
             for number in range(EDITS):
                 if number == EDITS // 2:
-                    await put_fault(running, lose_answers=1)
-                revision = await edit(running, number)
+                    await set_store_faults(running, lose_answers=1)
+                revision = await edit_workspace(running, number)
                 accepted = time.monotonic()
-                times = await watch.until(has_revision(revision))
-                taken += [(at - accepted) * 1_000 for at in times]
-                after = await asyncio.gather(*map(watch.status, watch.units))
+                applied_at = await poller.wait_until(has_revision(revision))
+                delays_ms += [(at - accepted) * 1_000 for at in applied_at]
+                after = await asyncio.gather(*map(poller.status, poller.units))
                 reverted += sum(f["revision"] < revision for f in after)
             seconds = time.monotonic() - began
             calls = sum(f["store_calls"] for f in after) - sum(
                 f["store_calls"] for f in before
             )
-            return taken, reverted, calls / seconds
+            return delays_ms, reverted, calls / seconds
 
-        taken, reverted, calls = run_watched(running.units, work)
+        delays_ms, reverted, calls = run_with_poller(running.units, work)
     print(
         measure.result(
             "config",
             {
-                "in_force_p50_ms": max(0.0, worst(taken, 50)),
-                "in_force_p99_ms": max(0.0, worst(taken, 99)),
+                "in_force_p50_ms": max(0.0, percentile_of(delays_ms, 50)),
+                "in_force_p99_ms": max(0.0, percentile_of(delays_ms, 99)),
                 "reverted": reverted,
                 "store_calls_per_s": calls,
                 "nodes": NODES,
@@ -155,45 +170,45 @@
 
 
 def withdraw_main() -> int:
-    """Measures how long a withdrawn key still works, on connected callers."""
+    """Measures how long connected callers can still use a withdrawn key."""
     with fleet.open_fleet() as running:
-        open_units(running, NODES)
+        start_fleet(running, NODES)
 
-        async def one(number: int) -> float:
-            given = await asyncio.to_thread(
+        async def withdraw_key(number: int) -> float:
+            created = await asyncio.to_thread(
                 deployments.command, running.store, "key", "give", "shop-1"
             )
             await asyncio.sleep(2.0)
             loader = load.Load([u.callers for u in running.units], seed=number)
             kind = load.Kind("call", "GET", "/grades/a", CALLER_RATE)
-            caller = load.Caller("shop-1", given["key"], [kind])
+            caller = load.Caller("shop-1", created["key"], [kind])
             sending = asyncio.create_task(loader.run([caller], seconds=6.0))
             await asyncio.sleep(1.0)
             await asyncio.to_thread(
                 deployments.command,
-                running.store, "key", "withdraw", given["key_id"],
+                running.store, "key", "withdraw", created["key_id"],
             )  # fmt: skip
             accepted = time.monotonic() - loader.started
             if number % 2:
-                await put_fault(running, down=True)
+                await set_store_faults(running, down=True)
                 await asyncio.sleep(2.0)
-                await put_fault(running)
+                await set_store_faults(running)
             await sending
             last = max(o.started for o in loader.outcomes if o.whole)
             refused = [o for o in loader.outcomes if o.code == "key_unknown"]
-            assert refused, "the key never stopped"
+            assert refused, "the withdrawn key never stopped working"
             return max(0.0, (last - accepted) * 1_000)
 
         async def work() -> list[float]:
-            return [await one(number) for number in range(WITHDRAWALS)]
+            return [await withdraw_key(number) for number in range(WITHDRAWALS)]
 
-        taken = asyncio.run(work())
+        delays_ms = asyncio.run(work())
     print(
         measure.result(
             "withdraw",
             {
-                "withdraw_p50_ms": worst(taken, 50),
-                "withdraw_p99_ms": worst(taken, 99),
+                "withdraw_p50_ms": percentile_of(delays_ms, 50),
+                "withdraw_p99_ms": percentile_of(delays_ms, 99),
                 "withdrawals": WITHDRAWALS,
                 "with_store_outage": WITHDRAWALS // 2,
                 "nodes": NODES,
@@ -204,24 +219,26 @@
 
 
 def status_of(found: Status, instance: str) -> str:
-    """Returns what a node believes of an instance."""
+    """Returns the status of an instance in the member list of a node."""
     for member in found["members"]:
         if member["instance"] == instance:
             return str(member["status"])
     return "unknown"
 
 
-async def idle_cost(running: fleet.Fleet, watch: Watch) -> dict[str, float]:
-    """Measures what control costs a node that serves nothing."""
+async def measure_idle_cost(
+    running: fleet.Fleet, poller: StatusPoller
+) -> dict[str, float]:
+    """Measures processor time, memory and traffic of nodes without load."""
     pids = [running.processes[f"node-{u.instance}"].pid for u in running.units]
-    before = await asyncio.gather(*map(watch.status, watch.units))
+    before = await asyncio.gather(*map(poller.status, poller.units))
     cpu_before = [measure.processor_seconds(pid) for pid in pids]
     await asyncio.sleep(IDLE_SECONDS)
     cpu = [
         measure.processor_seconds(pid) - spent
         for pid, spent in zip(pids, cpu_before, strict=True)
     ]
-    after = await asyncio.gather(*map(watch.status, watch.units))
+    after = await asyncio.gather(*map(poller.status, poller.units))
     count = len(pids)
 
     def rate(name: str) -> float:
@@ -238,28 +255,30 @@
     }
 
 
-async def changes(running: fleet.Fleet, watch: Watch) -> dict[str, float]:
-    """Measures a leave, a death and a join, as all others see them."""
-    leaving, dying = running.units[-1], running.units[-2]
-    others = Watch(watch.session, running.units[:-2])
+async def changes(
+    running: fleet.Fleet, poller: StatusPoller
+) -> dict[str, float]:
+    """Measures when all other nodes see a leave, a failure and a join."""
+    leaving, failing = running.units[-1], running.units[-2]
+    others = StatusPoller(poller.session, running.units[:-2])
     began = time.monotonic()
     running.signal(f"node-{leaving.instance}", signal.SIGTERM)
-    left = await others.until(
+    left = await others.wait_until(
         lambda found: status_of(found, leaving.instance) == "leaving"
     )
     leave_ms = (max(left) - began) * 1_000
-    running.processes[f"node-{dying.instance}"].kill()
+    running.processes[f"node-{failing.instance}"].kill()
     began = time.monotonic()
-    dead = await others.until(
-        lambda found: status_of(found, dying.instance) == "dead"
+    dead = await others.wait_until(
+        lambda found: status_of(found, failing.instance) == "dead"
     )
     dead_ms = (max(dead) - began) * 1_000
-    running.processes[f"node-{dying.instance}"].wait()
-    running.start_node(dying, fleet_instances=len(running.units))
-    await running.wait_up(watch.session, dying)
+    running.processes[f"node-{failing.instance}"].wait()
+    running.start_node(failing, fleet_instances=len(running.units))
+    await running.wait_up(poller.session, failing)
     began = time.monotonic()
-    joined = await others.until(
-        lambda found: status_of(found, dying.instance) == "alive"
+    joined = await others.wait_until(
+        lambda found: status_of(found, failing.instance) == "alive"
     )
     return {
         "leave_ms": leave_ms,
@@ -269,19 +288,19 @@
 
 
 def membership_main() -> int:
-    """Measures membership and the cost of control at several sizes."""
+    """Measures membership changes and idle cost at several fleet sizes."""
     figures: dict[str, float | int | str] = {}
     for size in SIZES:
         with fleet.open_fleet() as running:
-            open_units(running, size)
+            start_fleet(running, size)
 
             async def work(
-                watch: Watch, running: fleet.Fleet = running
+                poller: StatusPoller, running: fleet.Fleet = running
             ) -> dict[str, float]:
-                cost = await idle_cost(running, watch)
-                return cost | await changes(running, watch)
+                cost = await measure_idle_cost(running, poller)
+                return cost | await changes(running, poller)
 
-            found = run_watched(running.units, work)
+            found = run_with_poller(running.units, work)
         for name, value in found.items():
             figures[f"{name}_{size}"] = value
     figures["sizes"] = str(SIZES)
--- a/bench/experiments/log_cost.py
+++ b/bench/experiments/log_cost.py
@@ -1,7 +1,8 @@
-"""Processor a log line and a count, with an empty call as baseline.
+"""Measures processor time per log line and per metric update.
 
-Rounds of the ways interleave, and the median counts: absolute figures move by
-half from run to run on a shared machine.
+The baseline is an empty call. Rounds of all cases are interleaved and the
+median is reported, because absolute figures vary by half between runs on a
+shared machine.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 ROUNDS = 7
 
 
-def nothing(event: str, **values: object) -> None:
-    """Takes a line's values and does nothing."""
+def discard(event: str, **values: object) -> None:
+    """Discards a log line; the baseline."""
 
 
-def tell(log: Callable[..., None]) -> None:
-    """Tells the line that a refused request gets."""
+def log_rejection(log: Callable[..., None]) -> None:
+    """Logs the line that is written for a rejected request."""
     log(
         "request_rejected",
         id="9c41d07be2a35f68",
@@ -40,8 +41,8 @@
     )
 
 
-def microseconds(work: Callable[[], None]) -> float:
-    """Returns the processor time of one call."""
+def measure_microseconds(work: Callable[[], None]) -> float:
+    """Returns the mean processor time of one call, in microseconds."""
     start = time.process_time()
     for _ in range(CALLS):
         work()
@@ -49,7 +50,11 @@
 
 
 async def measure_all() -> dict[str, float]:
-    """Measures all ways, round by round."""
+    """Measures all cases in interleaved rounds.
+
+    Returns:
+      Median processor time of each case, in microseconds.
+    """
     clock = clock_module.suspend_aware_clock()
     sink = os.open(os.devnull, os.O_WRONLY)
     loop = asyncio.get_running_loop()
@@ -60,41 +65,41 @@
         write=lambda data: os.write(sink, data),
         loop=loop,
     )
-    counted = counts.Counts()
+    metrics = counts.Counts()
 
-    def kept() -> None:
+    def write_line() -> None:
         log.lines = 0
         log.second = clock.now()
-        tell(log.event)
+        log_rejection(log.event)
         if log.buffered > decisions.BUFFER_BYTES_MAX // 2:
             log.flush()
 
-    def left_out() -> None:
+    def drop_line() -> None:
         log.lines = decisions.LINES_A_SECOND
         log.second = clock.now()
-        tell(log.event)
+        log_rejection(log.event)
 
-    def count() -> None:
-        counted.add("requests", "grades", "2xx")
-        counted.observe("request_seconds", 12.5, "grades")
+    def update_metrics() -> None:
+        metrics.add("requests", "grades", "2xx")
+        metrics.observe("request_seconds", 12.5, "grades")
 
-    ways: dict[str, Callable[[], None]] = {
-        "empty_us": lambda: tell(nothing),
-        "line_kept_us": kept,
-        "line_left_out_us": left_out,
-        "count_and_latency_us": count,
+    cases: dict[str, Callable[[], None]] = {
+        "empty_us": lambda: log_rejection(discard),
+        "line_kept_us": write_line,
+        "line_left_out_us": drop_line,
+        "count_and_latency_us": update_metrics,
     }
-    taken: dict[str, list[float]] = {name: [] for name in ways}
+    samples: dict[str, list[float]] = {name: [] for name in cases}
     for _ in range(ROUNDS):
-        for name, work in ways.items():
-            taken[name].append(microseconds(work))
+        for name, work in cases.items():
+            samples[name].append(measure_microseconds(work))
             await asyncio.sleep(0)
     os.close(sink)
-    return {name: statistics.median(all_) for name, all_ in taken.items()}
+    return {name: statistics.median(times) for name, times in samples.items()}
 
 
 def main() -> int:
-    """Runs the bench and prints its line."""
+    """Runs the experiment and prints its result line."""
     figures: dict[str, float | int | str] = {**uvloop.run(measure_all())}
     print(measure.result("log_cost", figures))
     return 0
--- a/bench/experiments/overhead.py
+++ b/bench/experiments/overhead.py
@@ -1,7 +1,7 @@
-"""Cost of a hop: direct, bare relay, one node and two nodes, interleaved.
+"""Measures the cost of a hop: direct, byte relay, one node and two nodes.
 
-All paths run in many short rounds of one run, since absolute figures move by
-half from run to run on a shared machine.
+All call paths are measured in many short, interleaved rounds of one run,
+because absolute figures vary by half between runs on a shared machine.
 """
 
 from __future__ import annotations
@@ -30,13 +30,18 @@
 
 @dataclasses.dataclass
 class Path:
-    """One way to the target.
+    """One call path to the target, and what was measured on it.
 
     Attributes:
-      name: Its name.
-      address: Where callers connect.
+      name: Its name in the figures.
+      address: Address that callers connect to.
       url: Path of the request.
-      processes: Processes on the way whose time counts.
+      processes: Ids of the processes on the path whose processor time counts.
+      latency: Latency of the recorded calls.
+      cpu_seconds: Processor time of the processes in the recorded rounds.
+      calls: Number of recorded calls.
+      throughput: Calls a second of each saturation round.
+      round_p50: Median latency of each recorded round, in ms.
     """
 
     name: str
@@ -53,7 +58,7 @@
 
 
 class Driver:
-    """Sends calls along one path over kept connections."""
+    """Sends calls along one path over persistent connections."""
 
     def __init__(self, path: Path, key: str) -> None:
         host, _, port = path.address.rpartition(":")
@@ -67,7 +72,7 @@
         )
 
     async def call(self) -> float:
-        """Makes one call and returns its seconds."""
+        """Makes one call and returns its duration in seconds."""
         fields: CIMultiDict[str] = CIMultiDict(
             {
                 "Host": "bench",
@@ -91,12 +96,20 @@
         self.pool.release(connection, clean=True)
         if answer.message.code != 200:
             raise RuntimeError(
-                f"{self.path.name} answered {answer.message.code}"
+                f"path {self.path.name} answered {answer.message.code}, not 200"
             )
         return seconds
 
-    async def paced(self, seconds: float, *, rate: float, keep: bool) -> None:
-        """Sends at a rate, open loop."""
+    async def send_at_rate(
+        self, seconds: float, *, rate: float, record: bool
+    ) -> None:
+        """Sends calls at a constant rate, without waiting for answers.
+
+        Args:
+          seconds: Duration.
+          rate: Calls a second.
+          record: Whether the calls count in the figures of the path.
+        """
         loop = asyncio.get_running_loop()
         tasks: list[asyncio.Task[float]] = []
         started = loop.time()
@@ -105,15 +118,15 @@
             if delay > 0:
                 await asyncio.sleep(delay)
             tasks.append(loop.create_task(self.call()))
-        taken = await asyncio.gather(*tasks)
-        if keep:
-            for value in taken:
+        durations = await asyncio.gather(*tasks)
+        if record:
+            for value in durations:
                 self.path.latency.add(value)
-            self.path.calls += len(taken)
-            self.path.round_p50.append(statistics.median(taken) * 1_000)
+            self.path.calls += len(durations)
+            self.path.round_p50.append(statistics.median(durations) * 1_000)
 
     async def saturate(self, seconds: float) -> None:
-        """Sends as fast as answers come, from many callers."""
+        """Sends from many callers, each after its last call was answered."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         count = 0
@@ -128,21 +141,26 @@
         self.path.throughput.append(count / seconds)
 
 
-def spent(path: Path) -> float:
-    """Returns the processor seconds of the processes on a way."""
+def cpu_seconds_of(path: Path) -> float:
+    """Returns the processor time of the processes on a path, in seconds."""
     return sum(measure.processor_seconds(pid) for pid in path.processes)
 
 
 async def run_rounds(paths: list[Path], key: str) -> None:
-    """Interleaves the paths in short rounds."""
+    """Measures the paths in short, interleaved rounds.
+
+    The first round warms up and is not recorded.
+    """
     drivers = [Driver(path, key) for path in paths]
     for number in range(ROUNDS + 1):
         for driver in drivers:
-            await driver.paced(WARM_UP_SECONDS, rate=RATE, keep=False)
-            before = spent(driver.path)
-            await driver.paced(ROUND_SECONDS, rate=RATE, keep=number > 0)
+            await driver.send_at_rate(WARM_UP_SECONDS, rate=RATE, record=False)
+            before = cpu_seconds_of(driver.path)
+            await driver.send_at_rate(
+                ROUND_SECONDS, rate=RATE, record=number > 0
+            )
             if number > 0:
-                driver.path.cpu_seconds += spent(driver.path) - before
+                driver.path.cpu_seconds += cpu_seconds_of(driver.path) - before
     for _ in range(SATURATION_ROUNDS):
         for driver in drivers:
             await driver.saturate(SATURATION_SECONDS)
@@ -151,7 +169,7 @@
 def build_paths(
     running: fleet.Fleet, relay_port: int, service: str
 ) -> list[Path]:
-    """Returns the four ways to the target of a service."""
+    """Returns the four call paths to the target of a service."""
     near = next(u for u in running.units if u.behaviour.service == service)
     far = next(u for u in running.units if u.behaviour.service != service)
 
@@ -174,7 +192,7 @@
 
 
 def measure_size(size: int) -> dict[str, float]:
-    """Runs all paths for one size of answer."""
+    """Measures all paths with answers of one size, in bytes."""
     with fleet.open_fleet() as running:
         running.start_store()
         running.plan(
@@ -208,11 +226,11 @@
         asyncio.run(running.wait_ready())
         paths = build_paths(running, relay_port, "grades")
         asyncio.run(run_rounds(paths, keys["mill-1"]))
-    return figures_of({path.name: path for path in paths})
+    return compute_figures({path.name: path for path in paths})
 
 
-def figures_of(paths: dict[str, Path]) -> dict[str, float]:
-    """Computes the figures of one run."""
+def compute_figures(paths: dict[str, Path]) -> dict[str, float]:
+    """Computes the figures of one run from its paths, by name."""
 
     def added(name: str, percent: float) -> float:
         return paths[name].latency.percentile(percent) - paths[
@@ -247,7 +265,7 @@
 
 
 def main() -> int:
-    """Runs the bench and prints its line."""
+    """Runs the experiment and prints its result line."""
     figures: dict[str, float | int | str] = {}
     for size in SIZES:
         suffix = "" if size == SIZES[0] else "_64k"
--- a/bench/experiments/prove.py
+++ b/bench/experiments/prove.py
@@ -1,4 +1,7 @@
-"""Searches generated histories for as long as told, from a printed seed."""
+"""Searches generated histories for violations, for a given time.
+
+Prints the seed of each round, so that a failure can be replayed.
+"""
 
 from __future__ import annotations
 
@@ -12,29 +15,34 @@
 
 
 def main(*, seconds: float, seed: int | None) -> int:
-    """Runs rounds of the generated histories, a new seed for each.
+    """Runs rounds of generated histories, each with a new seed.
+
+    A round that has begun is always completed, so the same first seed gives the
+    same rounds.
 
-    A round always ends whole, so the same first seed gives the same rounds.
+    Args:
+      seconds: Time after which no further round begins; one always runs.
+      seed: Seed of the first round; None draws one at random.
 
     Returns:
-      0 when no round found a violation, else 1.
+      0 if no round found a violation, else 1.
     """
     first = secrets.randbits(SEED_BITS) if seed is None else seed
     end = time.monotonic() + seconds
     rounds = 0
     while rounds == 0 or time.monotonic() < end:
-        present = first + rounds
-        print(f"round {rounds + 1}: seed {present}", flush=True)
-        done = subprocess.run(
+        round_seed = first + rounds
+        print(f"round {rounds + 1}: seed {round_seed}", flush=True)
+        completed = subprocess.run(
             [
                 sys.executable, "-m", "pytest", "-x", "--show-capture=no",
                 "--hypothesis-profile=prove",
-                f"--hypothesis-seed={present}", TESTS,
+                f"--hypothesis-seed={round_seed}", TESTS,
             ],
             check=False,
         )  # fmt: skip
-        if done.returncode != 0:
-            print(f"failed; replay: make prove SECONDS=0 SEED={present}")
+        if completed.returncode != 0:
+            print(f"failed; replay: make prove SECONDS=0 SEED={round_seed}")
             return 1
         rounds += 1
     print(f"{rounds} rounds passed, 0 failed, from seed {first}")
--- a/bench/experiments/proxy_hop.py
+++ b/bench/experiments/proxy_hop.py
@@ -1,11 +1,13 @@
-"""Processor a call and side on the platform's way, with a relay as baseline.
+"""Measures processor time per call and node on the platform's call path.
 
-A caller's node and a target's node as processes; callers, target and store in
-this one. Rounds of the two ways interleave, since absolute figures move by
-half from run to run on a shared machine.
+The baseline is a byte relay. The caller's node and the target's node run as
+processes; callers, target and store run in this process. Rounds of the two
+paths are interleaved, because absolute figures vary by half between runs on a
+shared machine.
 
-Before this way existed, a side of the product's own way cost 0.71 ms at 370
-calls a second (`overhead`, 1.414 ms for two nodes).
+For comparison: before the platform's path existed, each node on the product's
+own path used 0.71 ms per call at 370 calls a second (`overhead`: 1.414 ms for
+two nodes).
 """
 
 from __future__ import annotations
@@ -34,7 +36,13 @@
 
 
 class Caller(asyncio.Protocol):
-    """One kept connection of a caller; one request at a time."""
+    """A caller with a persistent connection and one request at a time.
+
+    Attributes:
+      busy: Whether a request waits for its answer.
+      latency: Receives the latency of each answer.
+      failed: Answers with a status other than 200.
+    """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -56,7 +64,7 @@
         if self.latency is not None:
             self.latency.add(time.perf_counter() - self.sent_at)
 
-    def ask(self, data: bytes, latency: measure.Latency) -> None:
+    def send(self, data: bytes, latency: measure.Latency) -> None:
         assert self.transport is not None
         self.latency = latency
         self.busy = True
@@ -65,7 +73,7 @@
 
 
 def request(number: int) -> bytes:
-    """Returns a request of the usual shape."""
+    """Returns a request with the usual header fields."""
     return (
         f"GET /read/1 HTTP/1.1\r\nHost: {world.SITE}\r\n"
         f"Currantcart-Request-Id: r{number:016x}\r\n"
@@ -74,11 +82,16 @@
     ).encode()
 
 
-class Way:
-    """One way to the target.
+class CallPath:
+    """One call path to the target, and what was measured on it.
 
     Attributes:
-      processes: Processes whose time counts, by name.
+      port: Port that callers connect to.
+      processes: Ids of the processes whose processor time counts, by name.
+      callers: Callers that are connected.
+      latency: Latency of all calls.
+      seconds: Processor time of each process, by name.
+      calls: Number of calls sent.
     """
 
     def __init__(self, port: int, processes: dict[str, int]) -> None:
@@ -89,8 +102,10 @@
         self.seconds = dict.fromkeys(processes, 0.0)
         self.calls = 0
 
-    async def round(self, rate: float, numbers: itertools.count[int]) -> None:
-        """Sends calls at a steady rate for one round."""
+    async def run_round(
+        self, rate: float, numbers: itertools.count[int]
+    ) -> None:
+        """Sends calls at a constant rate for one round."""
         loop = asyncio.get_running_loop()
         while len(self.callers) < CONNECTIONS:
             _, made = await loop.create_connection(
@@ -109,7 +124,7 @@
                 if due <= 0:
                     break
                 if not caller.busy:
-                    caller.ask(request(next(numbers)), self.latency)
+                    caller.send(request(next(numbers)), self.latency)
                     sent, due = sent + 1, due - 1
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.1)
@@ -118,12 +133,12 @@
             self.seconds[name] += measure.processor_seconds(pid) - before[name]
 
     def cpu_ms(self, name: str) -> float:
-        """Returns the processor time of a process for one call."""
+        """Returns the mean processor time of a process per call, in ms."""
         return 1e3 * self.seconds[name] / max(1, self.calls)
 
 
 def start_relay(port: int, target: int) -> subprocess.Popen[bytes]:
-    """Starts the relay before a target."""
+    """Starts a relay in front of a target."""
     return subprocess.Popen(
         [
             sys.executable, "-m", "bench.standins.relay",
@@ -133,7 +148,7 @@
 
 
 async def measure_rate(rate: float, folder: pathlib.Path) -> dict[str, float]:
-    """Measures both ways at one rate."""
+    """Measures both call paths at one rate."""
     places = world.World(folder, random.Random(1))
     relay: subprocess.Popen[bytes] | None = None
     try:
@@ -145,37 +160,37 @@
         await asyncio.sleep(START_SECONDS)
         assert front.process is not None
         assert back.process is not None
-        two = Way(
+        node_path = CallPath(
             front.ports[0],
             {"front": front.process.pid, "guard": back.process.pid},
         )
-        bare = Way(relay_port, {"relay": relay.pid})
+        relay_path = CallPath(relay_port, {"relay": relay.pid})
         numbers = itertools.count()
         for _ in range(ROUNDS):
-            for way in (bare, two):
-                await way.round(rate, numbers)
+            for path in (relay_path, node_path):
+                await path.run_round(rate, numbers)
     finally:
         if relay is not None:
             relay.kill()
             relay.wait()
         await places.stop()
     suffix = f"_{rate:.0f}"
-    failed = sum(caller.failed for caller in two.callers)
+    failed = sum(caller.failed for caller in node_path.callers)
     return {
-        f"calls{suffix}": two.calls,
+        f"calls{suffix}": node_path.calls,
         f"failed{suffix}": failed,
-        f"front_cpu_ms{suffix}": two.cpu_ms("front"),
-        f"guard_cpu_ms{suffix}": two.cpu_ms("guard"),
-        f"relay_cpu_ms{suffix}": bare.cpu_ms("relay"),
-        f"p50_ms{suffix}": two.latency.percentile(50),
-        f"p99_ms{suffix}": two.latency.percentile(99),
-        f"relay_p50_ms{suffix}": bare.latency.percentile(50),
-        f"relay_p99_ms{suffix}": bare.latency.percentile(99),
+        f"front_cpu_ms{suffix}": node_path.cpu_ms("front"),
+        f"guard_cpu_ms{suffix}": node_path.cpu_ms("guard"),
+        f"relay_cpu_ms{suffix}": relay_path.cpu_ms("relay"),
+        f"p50_ms{suffix}": node_path.latency.percentile(50),
+        f"p99_ms{suffix}": node_path.latency.percentile(99),
+        f"relay_p50_ms{suffix}": relay_path.latency.percentile(50),
+        f"relay_p99_ms{suffix}": relay_path.latency.percentile(99),
     }
 
 
 def main() -> int:
-    """Runs the bench and prints its line."""
+    """Runs the experiment and prints its result line."""
     figures: dict[str, float | int | str] = {}
     for rate in RATES:
         with tempfile.TemporaryDirectory() as name:
--- a/bench/experiments/rate.py
+++ b/bench/experiments/rate.py
@@ -1,7 +1,8 @@
-"""Rates over real nodes: calm, skewed to one node, and with a node killed.
+"""Rate limits of workspaces on real nodes, by phases of load.
 
-The baseline is the static share: what each node may admit on its own, worked
-out from the same calls.
+Load within the rates on all nodes, on one node only, with one workspace far
+above its rate, and after a node was killed. The baseline is a static share of
+the rate for each node, computed from the same calls.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def kind(rate: float) -> load.Kind:
-    """Returns a cheap request."""
+    """Returns a kind of request that costs its target little work."""
     return load.Kind("call", "GET", "/grades/a", rate, patience_ms=5_000)
 
 
@@ -31,7 +32,14 @@
     addresses: list[str], keys: dict[str, str], rates: dict[str, float],
     seed: int,
 ) -> load.Load:  # fmt: skip
-    """Sends the load of one phase."""
+    """Sends the load of one phase.
+
+    Args:
+      addresses: Nodes that receive it.
+      keys: Key of each workspace.
+      rates: Requests a second of each workspace.
+      seed: Seed of the load.
+    """
     loader = load.Load(addresses, seed=seed)
     callers = [
         load.Caller(name, keys[name], [kind(rate)])
@@ -42,7 +50,7 @@
 
 
 def refused_ratio(outcomes: list[load.Outcome], workspace: str) -> float:
-    """Returns the share of a workspace's calls refused for its rate."""
+    """Returns the share of a workspace's calls refused by its rate limit."""
     sent = [o for o in outcomes if o.workspace == workspace]
     return sum(o.code == "rate_exceeded" for o in sent) / len(sent)
 
@@ -50,26 +58,33 @@
 def static_refused_ratio(
     outcomes: list[load.Outcome], workspace: str, nodes: int
 ) -> float:
-    """Returns what a static share would have refused of the same calls.
+    """Returns the share of the same calls that static shares would refuse.
+
+    Callers choose nodes at random, so each node receives an equal part.
 
-    Callers choose nodes at random, so each node sees its part of them.
+    Args:
+      outcomes: Outcomes of all calls of the phase.
+      workspace: Workspace that sent the calls.
+      nodes: Nodes that received the load.
     """
     share = WORKSPACE_RATE / NODES
     sent = [o for o in outcomes if o.workspace == workspace]
-    part = len(sent) / SECONDS / nodes
-    return max(0.0, 1.0 - share / part)
+    node_rate = len(sent) / SECONDS / nodes
+    return max(0.0, 1.0 - share / node_rate)
 
 
 def over_admitted(outcomes: list[load.Outcome]) -> int:
-    """Counts admitted calls over rate and burst, by when they were sent.
+    """Counts calls that were admitted in excess of rate and burst.
 
-    A call is admitted between being sent and being answered. Both orders are
-    possible histories; only an excess in each of them is one for certain.
+    A call is admitted at some time between being sent and being answered, so
+    both the times of sending and the times of the answers are possible
+    histories. An excess is proven only if both of them have one, therefore the
+    lower count is used.
     """
-    found = []
+    excesses = []
     for name in {o.workspace for o in outcomes}:
         admitted = [o for o in outcomes if o.workspace == name and o.whole]
-        by_order = [
+        by_history = [
             checkers.rate_is_kept(
                 [1_000 * time for time in times],
                 rate=WORKSPACE_RATE,
@@ -80,31 +95,35 @@
                 [o.started + o.seconds for o in admitted],
             )
         ]
-        found.append(min(len(excess) for excess in by_order))
-    return sum(found)
+        excesses.append(min(len(excess) for excess in by_history))
+    return sum(excesses)
 
 
 async def drive(
     running: fleet.Fleet, keys: dict[str, str], seed: int
 ) -> dict[str, load.Load]:
-    """Runs the phases one after another."""
-    every = [unit.callers for unit in running.units]
+    """Runs the phases one after another and returns their loads by name."""
+    addresses = [unit.callers for unit in running.units]
     await asyncio.sleep(SETTLE_SECONDS)
-    inside = {GREEDY: LOAD_RATE, OTHER: LOAD_RATE}
+    within_rate = {GREEDY: LOAD_RATE, OTHER: LOAD_RATE}
     flooded = {GREEDY: FLOOD_RATE, OTHER: LOAD_RATE}
-    seen = {
-        "calm": await phase(every, keys, inside, seed),
-        "skewed": await phase(every[:1], keys, inside, seed + 1),
-        "flood": await phase(every, keys, flooded, seed + 2),
+    loads = {
+        "calm": await phase(addresses, keys, within_rate, seed),
+        "skewed": await phase(addresses[:1], keys, within_rate, seed + 1),
+        "flood": await phase(addresses, keys, flooded, seed + 2),
     }
     running.processes[f"node-{running.units[-1].instance}"].kill()
     await asyncio.sleep(1.0)
-    seen["killed"] = await phase(every[:-1], keys, inside, seed + 3)
-    return seen
+    loads["killed"] = await phase(addresses[:-1], keys, within_rate, seed + 3)
+    return loads
 
 
 def main(seed: int = 21) -> int:
-    """Runs the bench and prints its line."""
+    """Runs the experiment and prints its result line.
+
+    Returns:
+      1 if calls were admitted in excess of a rate, else 0.
+    """
     with fleet.open_fleet() as running:
         running.start_store()
         running.plan(
@@ -120,8 +139,8 @@
             running.store, rate=WORKSPACE_RATE, burst=WORKSPACE_BURST
         )
         asyncio.run(running.wait_ready())
-        seen = asyncio.run(drive(running, keys, seed))
-    outcomes = {name: loader.outcomes for name, loader in seen.items()}
+        loads = asyncio.run(drive(running, keys, seed))
+    outcomes = {name: loader.outcomes for name, loader in loads.items()}
     excess = sum(over_admitted(found) for found in outcomes.values())
     figures: dict[str, float | int | str] = {"over_admitted": excess}
     for name, nodes in (("calm", NODES), ("skewed", 1), ("killed", NODES - 1)):
