--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -305,7 +305,7 @@
             )
         ]
 
-    def rumour(self) -> list[Outgoing]:
+    def gossip_updates(self) -> list[Outgoing]:
         """Returns pings that carry pending updates to a few random members."""
         others = self.table.others(model.Status.ALIVE)
         chosen = self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -100,5 +100,5 @@
     def announce_revision(self) -> None:
         """Sends a new revision to a few random peers, which disseminate it."""
         self.detector.revision = self.context.config.revision
-        self.send(self.detector.rumour())
+        self.send(self.detector.gossip_updates())
         self.notify_changes()
