--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -314,7 +314,7 @@
             for member in chosen
         ]
 
-    def farewell(self) -> list[Outgoing]:
+    def broadcast_updates(self) -> list[Outgoing]:
         """Returns pings that carry pending updates to all other members."""
         return [
             self.ping(member.peers, sequence=self.next_sequence())
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -94,7 +94,7 @@
     def announce(self) -> None:
         """Sends this node's entry to all peers at once."""
         self.detector.revision = self.context.config.revision
-        self.send(self.detector.farewell())
+        self.send(self.detector.broadcast_updates())
         self.notify_changes()
 
     def announce_revision(self) -> None:
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -130,7 +130,7 @@
         dataclasses.replace(leaving.table.own, status=model.Status.LEAVING),
         net.now,
     )
-    net.send("a5", leaving.farewell())
+    net.send("a5", leaving.broadcast_updates())
     seen = {net.status(n, 5) for n in range(12) if n != 5}
     assert seen == {model.Status.LEAVING}
 
