--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -250,7 +250,7 @@
             self.strangers.append(datagram)
         for update in datagram.updates:
             self.table.merge(update, now)
-        self.table.note_revision(datagram.sender, datagram.revision)
+        self.table.record_revision(datagram.sender, datagram.revision)
         if datagram.kind is messages.Kind.PING:
             sending.append(self.build_ack(datagram))
         elif datagram.kind is messages.Kind.PING_REQUEST:
--- a/src/currantcart/membership/table.py
+++ b/src/currantcart/membership/table.py
@@ -62,7 +62,7 @@
         )
         self.version += 1
 
-    def note_revision(self, instance: str, revision: int) -> None:
+    def record_revision(self, instance: str, revision: int) -> None:
         """Records the revision of a member without disseminating it."""
         entry = self.entries.get(instance)
         if entry is not None and entry.member.revision < revision:
--- a/src/currantcart/node/app.py
+++ b/src/currantcart/node/app.py
@@ -176,7 +176,7 @@
         self.context.limiter.configure(
             view.workspaces.values(), self.context.clock.now()
         )
-        self.members.note_revision(self.context.instance, view.revision)
+        self.members.record_revision(self.context.instance, view.revision)
         self.gossip.announce_revision()
 
     def members_changed(self) -> None:
