--- a/src/currantcart/membership/isolation.py
+++ b/src/currantcart/membership/isolation.py
@@ -23,7 +23,7 @@
         self.last_received_ms = now
         self.had_peers = False
 
-    def heard_store(self, now: float) -> None:
+    def on_store_answer(self, now: float) -> None:
         """Records an answer of the store."""
         self.last_received_ms = now
 
--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -174,7 +174,7 @@
         entry = await self.store.watch(
             document.STORE_KEY, index=self.store_index, wait_ms=WATCH_MS
         )
-        self.context.isolation.heard_store(self.context.clock.now())
+        self.context.isolation.on_store_answer(self.context.clock.now())
         if entry.index < self.store_index:
             self.context.logger.error(
                 "store went back",
