--- a/src/currantcart/membership/isolation.py
+++ b/src/currantcart/membership/isolation.py
@@ -27,7 +27,7 @@
         """Records an answer of the store."""
         self.last_received_ms = now
 
-    def heard_peer(self, now: float) -> None:
+    def on_datagram(self, now: float) -> None:
         """Records a datagram from a peer."""
         self.last_received_ms = now
         self.had_peers = True
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -58,7 +58,7 @@
             self.context.metrics.streams.labels(error.code).inc()
             return
         now = self.context.clock.now()
-        self.context.isolation.heard_peer(now)
+        self.context.isolation.on_datagram(now)
         self.send(self.detector.receive(datagram, now))
         self.notify_changes()
         if datagram.revision > self.context.config.revision:
