--- a/src/currantcart/http1/server.py
+++ b/src/currantcart/http1/server.py
@@ -42,7 +42,7 @@
       body: Body of the request.
       started: Whether the head of the answer was started.
       finished: Whether the answer was sent completely.
-      whole_body: The complete body once it was read; None before.
+      complete_body: The complete body once it was read; None before.
       keep_alive: Whether the connection may serve another request.
     """
 
@@ -57,7 +57,7 @@
         self.body = body
         self.started = False
         self.finished = False
-        self.whole_body: bytes | None = None
+        self.complete_body: bytes | None = None
         self.keep_alive = not message.should_close
         self.writer = aiohttp_http.StreamWriter(connection, connection.loop)
         self.expects_continue = (
@@ -73,19 +73,19 @@
                 transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def start(
-        self, status: int, headers: CIMultiDict[str], *, whole: bytes | None
+        self, status: int, headers: CIMultiDict[str], *, body: bytes | None
     ) -> None:
         """Prepares the head of the answer.
 
         Args:
           status: HTTP status.
           headers: End-to-end headers of the answer.
-          whole: The complete body; None if it will be streamed.
+          body: The complete body; None if it will be streamed.
         """
         self.started = True
         bodiless = status in BODILESS or self.message.method == "HEAD"
-        if whole is not None and not bodiless:
-            headers[CONTENT_LENGTH] = str(len(whole))
+        if body is not None and not bodiless:
+            headers[CONTENT_LENGTH] = str(len(body))
         elif bodiless:
             self.writer.length = 0
         elif CONTENT_LENGTH in headers:
@@ -117,7 +117,7 @@
         self, status: int, headers: CIMultiDict[str], body: bytes
     ) -> None:
         """Sends a complete answer."""
-        await self.start(status, headers, whole=body)
+        await self.start(status, headers, body=body)
         await self.finish(b"" if self.message.method == "HEAD" else body)
 
     def cancel(self) -> None:
--- a/src/currantcart/node/answer_relay.py
+++ b/src/currantcart/node/answer_relay.py
@@ -19,7 +19,7 @@
     """Sends the answer of a target to the caller."""
     fields = answer_headers(answer, call)
     if stream.at_end or answer.last:
-        await exchange.start(answer.status, fields, whole=stream.read_nowait())
+        await exchange.start(answer.status, fields, body=stream.read_nowait())
         await exchange.finish(answer.chunk if call.method != "HEAD" else b"")
     else:
         await relay_stream(exchange, answer, stream, fields)
@@ -32,7 +32,7 @@
     fields: CIMultiDict[str],
 ) -> None:
     """Streams an answer with backpressure from the caller."""
-    await exchange.start(answer.status, fields, whole=None)
+    await exchange.start(answer.status, fields, body=None)
     try:
         while not stream.at_end:
             chunk = await stream.read()
--- a/src/currantcart/node/operations.py
+++ b/src/currantcart/node/operations.py
@@ -86,8 +86,8 @@
                     f"{messages.CHUNK_BYTES_MAX} bytes",
                     not_run=True,
                 )
-        exchange.whole_body = b"".join(parts)
-        return exchange.whole_body
+        exchange.complete_body = b"".join(parts)
+        return exchange.complete_body
 
     def answered(self, claim: register.Claim, answer: messages.Answer) -> None:
         """Stores the answer of an operation, after it was sent."""
--- a/src/currantcart/node/upload.py
+++ b/src/currantcart/node/upload.py
@@ -83,8 +83,8 @@
 def first_bytes(exchange: server.Exchange) -> FirstBytes:
     """Returns the body if it has arrived completely, without waiting."""
     body = exchange.body
-    if exchange.whole_body is not None:
-        return FirstBytes(exchange.whole_body, last=True)
+    if exchange.complete_body is not None:
+        return FirstBytes(exchange.complete_body, last=True)
     if body.is_eof() and body.total_bytes <= messages.CHUNK_BYTES_MAX:
         return FirstBytes(body.read_nowait(), last=True)
     return FirstBytes(b"", last=False)
