--- a/src/currantcart/config/view.py
+++ b/src/currantcart/config/view.py
@@ -82,7 +82,7 @@
         """Current revision; 0 without a configuration."""
         return self.view.revision if self.view else 0
 
-    def offer(self, text: bytes) -> bool:
+    def apply(self, text: bytes) -> bool:
         """Applies a document if it is newer than the current one.
 
         A stale peer, a restarted store or a late message may deliver an older
--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -81,7 +81,7 @@
     def offer(self, text: bytes, source: str) -> None:
         """Applies a document if its revision is newer than the one in force."""
         try:
-            changed = self.context.config.offer(text)
+            changed = self.context.config.apply(text)
         except errors.SettingsError as error:
             self.context.logger.error(
                 "configuration refused", source=source, error=str(error)
--- a/tests/config/test_edits.py
+++ b/tests/config/test_edits.py
@@ -108,16 +108,16 @@
     state = view.ConfigState()
     for revision, expected in ((5, True), (4, False), (5, False), (6, True)):
         text = document.encode(document.Document(revision=revision))
-        assert state.offer(text) is expected
+        assert state.apply(text) is expected
     assert state.revision == 6
 
 
 def test_invalid_document_is_rejected_and_the_current_one_kept() -> None:
     state = view.ConfigState()
-    state.offer(document.encode(document.Document(revision=1)))
+    state.apply(document.encode(document.Document(revision=1)))
     for text in (b"", b"[]", b'{"revision": "x"}', b"\xff"):
         with pytest.raises(errors.SettingsError):
-            state.offer(text)
+            state.apply(text)
     assert state.revision == 1
 
 
