--- a/src/currantcart/http1/headers.py
+++ b/src/currantcart/http1/headers.py
@@ -40,7 +40,7 @@
     return frozenset(token.strip().lower() for token in value.split(","))
 
 
-def passed_on(
+def end_to_end_headers(
     headers: Iterable[tuple[str, str]],
     *,
     stripped: frozenset[str],
--- a/src/currantcart/node/dispatch.py
+++ b/src/currantcart/node/dispatch.py
@@ -187,7 +187,7 @@
             messages.Answer(
                 call_number=stream.call_number,
                 status=message.code,
-                headers=headers.passed_on(
+                headers=headers.end_to_end_headers(
                     message.headers.items(),
                     stripped=headers.HOP_BY_HOP,
                     connection=message.headers.get("Connection", ""),
--- a/src/currantcart/node/forward.py
+++ b/src/currantcart/node/forward.py
@@ -170,7 +170,7 @@
             service=call.service,
             method=call.method,
             path=call.path,
-            headers=headers.passed_on(
+            headers=headers.end_to_end_headers(
                 message.headers.items(),
                 stripped=headers.FROM_CALLER_STRIPPED,
                 connection=message.headers.get("Connection", ""),
