--- a/src/currantcart/node/ingress.py
+++ b/src/currantcart/node/ingress.py
@@ -99,7 +99,7 @@
         if call.parent is None:
             await self.rates.admit(call.workspace)
         now = self.context.clock.now()
-        if not self.context.throttle.admit(outcome.stream_of(call), now):
+        if not self.context.throttle.admit(outcome.traffic_class_of(call), now):
             level = self.context.throttle.level(call.service, now)
             if call.parent is not None:
                 # The level is sent upstream with the answer of the parent.
--- a/src/currantcart/node/outcome.py
+++ b/src/currantcart/node/outcome.py
@@ -27,7 +27,7 @@
 )
 
 
-def stream_of(call: call_model.Call) -> throttle.TrafficClass:
+def traffic_class_of(call: call_model.Call) -> throttle.TrafficClass:
     """Returns the throttle's key for a call."""
     return throttle.TrafficClass(call.service, call.workspace, call.priority)
 
@@ -100,7 +100,7 @@
 ) -> None:
     """Records in the throttle, and in the parent, whether a call was shed."""
     context.throttle.record_response(
-        stream_of(call),
+        traffic_class_of(call),
         accepted=accepted,
         shed_level=shed_level,
         now=context.clock.now(),
