--- a/src/currantcart/proxy/targets/guard.py
+++ b/src/currantcart/proxy/targets/guard.py
@@ -110,7 +110,7 @@
             pressure=pressure.quantize(self.pressure()),
             leaving=bool(self.target_id) and not self.ready,
             born=self.born,
-            work_ms=math.ceil(self.exchange.speed.reported_ms),
+            work_ms=math.ceil(self.exchange.work_time.reported_ms),
         )
 
     def pressure(self) -> pressure.Pressure:
--- a/src/currantcart/proxy/targets/target_exchange.py
+++ b/src/currantcart/proxy/targets/target_exchange.py
@@ -40,7 +40,7 @@
       pool: Connections to the target.
       deadline_line: Template of the deadline header.
       expected_line: Template of the header with the expected target.
-      speed: Smoothed time that the target works on a request.
+      work_time: Smoothed time that the target works on a request.
     """
 
     def __init__(self, context: proxy_context.Context, slots: Slots) -> None:
@@ -53,7 +53,7 @@
         names = context.header_names
         self.deadline_line = f"{names.deadline}: %d\r\n".encode()
         self.expected_line = f"{names.expected}: %s\r\n".encode()
-        self.speed = work_time.WorkTime()
+        self.work_time = work_time.WorkTime()
 
     def reset(self) -> None:
         """Closes all connections and resets measurements for a new target.
@@ -62,7 +62,7 @@
         one.
         """
         self.pool.close()
-        self.speed = work_time.WorkTime()
+        self.work_time = work_time.WorkTime()
 
     def start(self, job: job_module.Job) -> None:
         """Sends a request on a pooled connection or dials a new one."""
@@ -152,7 +152,7 @@
         worked_ms = now - job.handed_at
         self.context.counts.observe("target_seconds", worked_ms)
         if response.status < status.SERVER_ERROR:
-            self.speed.record(worked_ms)
+            self.work_time.record(worked_ms)
         if now - job.arrived_at > job.opening.objective_ms * SLOW_OF_OBJECTIVE:
             self.log_slow(job, now)
         self.pool.give_back(connection, now)
