--- a/src/currantcart/proxy/node.py
+++ b/src/currantcart/proxy/node.py
@@ -247,7 +247,7 @@
             "rates_exhausted": lambda: len(self.state_log.over_rate),
             "budgets_exhausted": lambda: len(self.state_log.spent),
             "retry_budget_nodes": lambda: (
-                self.outbound.retries.fixed_part.nodes
+                self.outbound.retries.slack_share.nodes
             ),
             "retry_budget_nodes_age_seconds": self.outbound.retries.nodes_age,
             "log_bytes_dropped": lambda: self.context.log.dropped_bytes,
--- a/src/currantcart/proxy/requests/retries.py
+++ b/src/currantcart/proxy/requests/retries.py
@@ -20,7 +20,7 @@
 
     Attributes:
       budgets: Retry budgets by service.
-      fixed_part: This node's share of the fixed number of retries that the
+      slack_share: This node's share of the fixed number of retries that the
         fleet may send beyond the ratio.
     """
 
@@ -30,7 +30,7 @@
         self.context = context
         self.node_count = node_count
         self.budgets: dict[str, budget.RetryBudget] = {}
-        self.fixed_part = self.new_fixed_part()
+        self.slack_share = self.new_slack_share()
 
     @property
     def window_ms(self) -> float:
@@ -52,18 +52,18 @@
 
     def use_bounds(self, bounds: proxy_settings.Bounds) -> None:
         """Applies changed bounds; retries already sent still count."""
-        if self.window_ms != self.fixed_part.window_ms:
+        if self.window_ms != self.slack_share.window_ms:
             # Counts of a window of another length can't be converted. As
             # after a start, the budgets that they held count as used up.
             self.budgets.clear()
-            self.fixed_part = self.new_fixed_part()
+            self.slack_share = self.new_slack_share()
         for retry_budget in self.budgets.values():
             retry_budget.ratio, retry_budget.slack = (
                 bounds.retry_ratio,
                 bounds.retry_slack,
             )
 
-    def new_fixed_part(self) -> slack_share.SlackShare:
+    def new_slack_share(self) -> slack_share.SlackShare:
         """Returns the share of a process that starts counting now."""
         return slack_share.SlackShare(
             window_ms=self.window_ms, started_at=self.context.now
@@ -71,13 +71,13 @@
 
     def record_fleet_size(self) -> None:
         """Records the number of known nodes; called at regular intervals."""
-        self.fixed_part.observe_nodes(self.node_count(), self.context.now)
+        self.slack_share.observe_nodes(self.node_count(), self.context.now)
 
     def share(self) -> float:
         """Returns this node's share of the fixed number of retries, 0 to 1."""
-        return self.fixed_part.share(self.context.now)
+        return self.slack_share.share(self.context.now)
 
-    def standings(self) -> dict[str, budget.Usage]:
+    def usages(self) -> dict[str, budget.Usage]:
         """Returns the current state of each service's retry budget."""
         now, share = self.context.now, self.share()
         return {
@@ -87,7 +87,7 @@
 
     def nodes_age(self) -> float:
         """Returns the seconds since the assumed number of nodes changed."""
-        since = self.context.now - self.fixed_part.nodes_at
+        since = self.context.now - self.slack_share.nodes_at
         return since / clock.MS_PER_SECOND
 
     def gauges(self) -> dict[str, Callable[[], dict[str, float]]]:
@@ -100,14 +100,14 @@
             value: Callable[[budget.Usage], float],
         ) -> Callable[[], dict[str, float]]:
             return lambda: {
-                service: value(standing)
-                for service, standing in self.standings().items()
+                service: value(usage)
+                for service, usage in self.usages().items()
             }
 
         return {
-            "retry_budget_requests": each(lambda standing: standing.requests),
-            "retry_budget_repeats": each(lambda standing: standing.repeats),
-            "retry_budget_left": each(lambda standing: standing.left),
+            "retry_budget_requests": each(lambda usage: usage.requests),
+            "retry_budget_repeats": each(lambda usage: usage.repeats),
+            "retry_budget_left": each(lambda usage: usage.left),
             "retry_budget_share": each(lambda _: self.share()),
         }
 
@@ -141,8 +141,8 @@
           cause: Why it is a retry, for metrics and log.
         """
         retry_budget, share = self.budget_of(call.service), self.share()
-        standing = retry_budget.usage(self.context.now, share=share)
-        taken = retry_budget.spend(self.context.now, left=standing.left)
+        usage = retry_budget.usage(self.context.now, share=share)
+        taken = retry_budget.spend(self.context.now, left=usage.left)
         name = "repeats" if taken else "repeats_refused"
         self.context.counts.add(name, call.service, cause)
         is_call = cause == CALLED_BY_RETRY
@@ -153,11 +153,11 @@
             service=call.service,
             cause=cause,
             after_ms=round(self.context.now - call.started_at),
-            requests=standing.requests,
-            repeats=standing.repeats,
-            left=round(standing.left, 1),
+            requests=usage.requests,
+            repeats=usage.repeats,
+            left=round(usage.left, 1),
             share=round(share, 4),
-            nodes=self.fixed_part.nodes,
+            nodes=self.slack_share.nodes,
             nodes_age_ms=round(self.nodes_age() * clock.MS_PER_SECOND),
         )
         return taken
--- a/tests/proxy/requests/test_retries.py
+++ b/tests/proxy/requests/test_retries.py
@@ -172,9 +172,9 @@
         before.bounds, retry_ratio=0.0, retry_slack=0.0
     )
     front.node.use_settings(msgspec.structs.replace(before, bounds=bounds))
-    (standing,) = front.node.outbound.retries.standings().values()
-    assert standing.requests == 30
-    assert standing.left == 0.0
+    (usage,) = front.node.outbound.retries.usages().values()
+    assert usage.requests == 30
+    assert usage.left == 0.0
 
 
 async def test_another_window_length_resets_the_budget_without_a_fixed_share(
