--- a/src/currantcart/membership/detector.py
+++ b/src/currantcart/membership/detector.py
@@ -66,8 +66,8 @@
     Attributes:
       table: The members.
       revision: Configuration revision that datagrams carry.
-      strangers: Datagrams from senders that are unknown or dead in the local
-        table; the tables of both nodes have to be compared.
+      unknown_senders: Datagrams from senders that are unknown or dead in the
+        local table; the tables of both nodes have to be compared.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self.next_probe_ms = now
         self.next_seed_ms = now
         self.order: list[str] = []
-        self.strangers: list[messages.Datagram] = []
+        self.unknown_senders: list[messages.Datagram] = []
 
     def build(
         self, kind: messages.Kind, *, sequence: int, subject: str = ""
@@ -246,8 +246,8 @@
     ) -> list[Outgoing]:
         """Handles a datagram and returns the datagrams to send in reply."""
         sending: list[Outgoing] = []
-        if self.is_stranger(datagram.sender):
-            self.strangers.append(datagram)
+        if self.is_unknown_sender(datagram.sender):
+            self.unknown_senders.append(datagram)
         for update in datagram.updates:
             self.table.merge(update, now)
         self.table.record_revision(datagram.sender, datagram.revision)
@@ -263,7 +263,7 @@
             sending += self.handle_ack(datagram)
         return sending
 
-    def is_stranger(self, instance: str) -> bool:
+    def is_unknown_sender(self, instance: str) -> bool:
         """Returns whether a sender is unknown or dead in the local table.
 
         All members on its side of a healed partition may be unknown here, and
@@ -273,10 +273,10 @@
         entry = self.table.entries.get(instance)
         return entry is None or entry.member.status is model.Status.DEAD
 
-    def take_strangers(self) -> list[messages.Datagram]:
-        """Returns the datagrams of strangers received since the last call."""
-        strangers, self.strangers = self.strangers, []
-        return strangers
+    def take_unknown_senders(self) -> list[messages.Datagram]:
+        """Returns the datagrams of unknown senders since the last call."""
+        unknown_senders, self.unknown_senders = self.unknown_senders, []
+        return unknown_senders
 
     def build_ack(self, ping: messages.Datagram) -> Outgoing:
         """Returns the ack of a ping.
--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -63,8 +63,8 @@
         self.notify_changes()
         if datagram.revision > self.context.config.revision:
             self.on_missing_state(datagram.sender, datagram.sender_address)
-        for stranger in self.detector.take_strangers():
-            self.on_missing_state(stranger.sender, stranger.sender_address)
+        for unknown in self.detector.take_unknown_senders():
+            self.on_missing_state(unknown.sender, unknown.sender_address)
 
     def send(self, outgoing: list[detector.Outgoing]) -> None:
         """Encodes and sends datagrams."""
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -59,8 +59,8 @@
             if self.reaches(sender, item.address):
                 peer = self.nodes[item.address]
                 self.send(item.address, peer.receive(item.datagram, self.now))
-                for stranger in peer.take_strangers():
-                    self.compare(item.address, stranger.sender_address)
+                for unknown in peer.take_unknown_senders():
+                    self.compare(item.address, unknown.sender_address)
 
     def compare(self, one: str, other: str) -> None:
         """Compares two tables, as nodes do over a stream."""
