--- a/src/currantcart/catalog/model.py
+++ b/src/currantcart/catalog/model.py
@@ -123,7 +123,7 @@
       by_name: Workspaces by name.
       keyed: Whether requests need the key of a workspace.
       limits: Limits on callers' requests.
-      unread: Names of fields in the document that are not supported.
+      unsupported_fields: Names of unsupported fields in the document.
     """
 
     def __init__(
@@ -135,10 +135,10 @@
         workspaces: tuple[Workspace, ...],
         keyed: bool,
         limits: CallerLimits,
-        unread: tuple[str, ...] = (),
+        unsupported_fields: tuple[str, ...] = (),
     ) -> None:
         self.version = version
-        self.unread = unread
+        self.unsupported_fields = unsupported_fields
         self.routes: dict[str, dict[str, Route]] = {}
         for route in routes:
             self.routes.setdefault(route.host, {})[route.prefix] = route
--- a/src/currantcart/platform/config.py
+++ b/src/currantcart/platform/config.py
@@ -173,7 +173,7 @@
             header_ms=limits.header_timeout_s * MS,
             idle_ms=limits.idle_timeout_s * MS,
         ),
-        unread=unread_fields(text, document),
+        unsupported_fields=unread_fields(text, document),
     )
 
 
--- a/src/currantcart/proxy/streams/config_feed.py
+++ b/src/currantcart/proxy/streams/config_feed.py
@@ -171,11 +171,13 @@
             source=source,
             age_ms=round(self.context.now - as_of),
         )
-        if catalog.unread:
+        if catalog.unsupported_fields:
             self.context.log.event(
                 "config_fields_unread",
                 version=catalog.version,
-                fields=",".join(catalog.unread[:UNKNOWN_FIELDS_MAX]),
+                fields=",".join(
+                    catalog.unsupported_fields[:UNKNOWN_FIELDS_MAX]
+                ),
             )
         self.exchange.set_current(document)
         self.context.catalog = catalog
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -55,8 +55,8 @@
     document["routes"]["columns"].append("shape")
     catalog = config.parse(json.dumps(document).encode())
     assert catalog.version == 7
-    assert catalog.unread == ("colour", "shape")
-    assert config.parse(fake_mesh.document(7)).unread == ()
+    assert catalog.unsupported_fields == ("colour", "shape")
+    assert config.parse(fake_mesh.document(7)).unsupported_fields == ()
 
 
 @pytest.mark.parametrize(
