--- a/src/currantcart/node/distribute.py
+++ b/src/currantcart/node/distribute.py
@@ -81,7 +81,7 @@
     def offer(self, text: bytes, source: str) -> None:
         """Applies a document if its revision is newer than the one in force."""
         try:
-            changed = self.context.config.offer(text)
+            changed = self.context.config.apply(text)
         except errors.SettingsError as error:
             self.context.logger.error(
                 "configuration refused", source=source, error=str(error)
@@ -174,7 +174,7 @@
         entry = await self.store.watch(
             document.STORE_KEY, index=self.store_index, wait_ms=WATCH_MS
         )
-        self.context.isolation.heard_store(self.context.clock.now())
+        self.context.isolation.on_store_answer(self.context.clock.now())
         if entry.index < self.store_index:
             self.context.logger.error(
                 "store went back",
