--- a/tests/models/__init__.py
+++ b/tests/models/__init__.py
@@ -1,1 +1,1 @@
-"""Exhaustive searches over the small protocols."""
+"""Model checks: every short order of events, or many generated ones."""
--- a/tests/models/test_loans.py
+++ b/tests/models/test_loans.py
@@ -1,8 +1,10 @@
-"""Every order of questions, loans, spending, delays and restarts of a rate.
+"""Every order of token requests, loans, spending, delays and restarts.
 
-Two nodes with the real shares of one workspace. What must hold: over any span
-no more than rate x span + burst is spent, whatever is late, lost or repeated,
-and whoever dies.
+Guards against a workspace that exceeds its rate: a late loan, or a restarted
+node, could spend tokens that another node has too. An exhaustive search runs
+all sequences of a few events on the real shares of two nodes. Over any span, at
+most rate x span + burst may be spent, whichever messages are late, lost or
+duplicated and whichever node restarts.
 """
 
 from __future__ import annotations
@@ -25,13 +27,22 @@
 
 @dataclasses.dataclass
 class World:
-    """Both nodes, and what is on its way between them."""
+    """Both nodes, and the messages in transit between them.
+
+    Attributes:
+      counts_from_arrival: Fault: a loan's validity starts when it arrives.
+      starts_full: Fault: a node starts with its full share of the burst.
+      now: Current time, in ms.
+      requested_at: When node a has requested a loan.
+      loan: Amount and request time of the loan in transit.
+      spent: Times, with the tokens spent at each.
+    """
 
     counts_from_arrival: bool = False
     starts_full: bool = False
     now: float = 10_000.0
-    asked: list[float] = dataclasses.field(default_factory=list)
-    given: tuple[float, float] | None = None
+    requested_at: list[float] = dataclasses.field(default_factory=list)
+    loan: tuple[float, float] | None = None
     spent: list[tuple[float, int]] = dataclasses.field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -39,25 +50,27 @@
         self.now += 1_000.0
 
     def start(self) -> share.Share:
-        made = share.Share(rate=RATE / NODES, burst=BURST / NODES, now=self.now)
+        started = share.Share(
+            rate=RATE / NODES, burst=BURST / NODES, now=self.now
+        )
         if self.starts_full:
-            made.tokens = made.burst
-        return made
+            started.tokens = started.burst
+        return started
 
-    def play(self, event: str) -> None:
+    def apply_event(self, event: str) -> None:
         who, _, what = event.partition(" ")
         if what == "asks":
-            self.asked.append(self.now)
-        elif what == "lends" and self.asked:
+            self.requested_at.append(self.now)
+        elif what == "lends" and self.requested_at:
             amount = self.nodes[who].lend(BURST / NODES, self.now)
-            self.given = (amount, self.asked[-1])
-        elif what == "hears" and self.given is not None:
-            amount, asked_ms = self.given
-            # The node passes over a loan that comes twice.
-            self.given = None
+            self.loan = (amount, self.requested_at[-1])
+        elif what == "hears" and self.loan is not None:
+            amount, requested_ms = self.loan
+            # A node discards a duplicate loan.
+            self.loan = None
             if self.counts_from_arrival:
-                asked_ms = self.now
-            self.nodes[who].borrow(amount, asked_ms=asked_ms)
+                requested_ms = self.now
+            self.nodes[who].borrow(amount, asked_ms=requested_ms)
         elif what == "spends":
             count = 0
             while self.nodes[who].take(self.now):
@@ -68,7 +81,7 @@
         elif event == "pass":
             self.now += STEP_MS
 
-    def wrong(self) -> bool:
+    def exceeds_rate(self) -> bool:
         for first, (start, _) in enumerate(self.spent):
             total = 0
             for at, count in self.spent[first:]:
@@ -78,31 +91,39 @@
         return False
 
 
-def broken(
+def find_violation(
     *, counts_from_arrival: bool = False, starts_full: bool = False
 ) -> tuple[str, ...] | None:
     """Returns the first sequence after which too much was spent."""
     for events in itertools.product(EVENTS, repeat=DEPTH):
         world = World(counts_from_arrival, starts_full)
         for event in events:
-            world.play(event)
-        if world.wrong():
+            world.apply_event(event)
+        if world.exceeds_rate():
             return events
     return None
 
 
-def test_no_order_of_events_spends_more_than_the_rate_and_the_burst() -> None:
-    assert broken() is None
+def test_no_order_of_events_exceeds_the_rate_and_the_burst() -> None:
+    assert find_violation() is None
+
 
+def test_search_finds_a_loan_that_is_valid_from_its_arrival() -> None:
+    """Shows that the search can fail.
 
-def test_the_search_finds_a_loan_that_counts_from_its_arrival() -> None:
-    """A loan is late; its lender has the tokens again as it is spent."""
-    found = broken(counts_from_arrival=True)
+    A loan arrives late, and the borrower counts its validity from the arrival.
+    The lender has its tokens back by the time the borrower spends them.
+    """
+    found = find_violation(counts_from_arrival=True)
     assert found is not None
     assert "a hears" in found
 
 
-def test_the_search_finds_a_node_that_starts_with_its_whole_share() -> None:
-    found = broken(starts_full=True)
+def test_search_finds_a_node_that_starts_with_its_full_share() -> None:
+    """Shows that the search can fail.
+
+    Each restart would give the node the tokens that it has already spent.
+    """
+    found = find_violation(starts_full=True)
     assert found is not None
     assert "b restarts" in found
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -1,4 +1,11 @@
-"""All nodes' retry budgets together, whatever each node knows of the others."""
+"""The retry budgets of all nodes together.
+
+Guards against a fleet that sends more retries than its budget: each node
+enforces its share locally, and callers move between nodes, nodes restart, and
+nodes may not know of each other. Within any window, all nodes together may send
+at most ratio x requests plus a fixed number (the slack) of retries, whatever
+each node knows of the others.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +29,19 @@
 
 
 class Node:
-    """One process with its budget and what it knows of the fleet."""
+    """One process with its budget and the nodes that it knows of."""
 
     def __init__(self, now: float, known: int) -> None:
         self.known = known
         self.budget = budget.RetryBudget(
             ratio=RATIO, slack=SLACK, window_ms=WINDOW_MS
         )
-        self.part = slack_share.SlackShare(window_ms=WINDOW_MS, started_at=now)
-        self.part.observe_nodes(known, now)
+        self.slack = slack_share.SlackShare(window_ms=WINDOW_MS, started_at=now)
+        self.slack.observe_nodes(known, now)
 
-    def repeat(self, now: float, wanted: int) -> int:
-        self.part.observe_nodes(self.known, now)
-        share = self.part.share(now)
+    def send_retries(self, now: float, wanted: int) -> int:
+        self.slack.observe_nodes(self.known, now)
+        share = self.slack.share(now)
         taken = 0
         while taken < wanted and self.budget.take(now, share=share):
             taken += 1
@@ -43,22 +50,29 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """Nodes, and what all of them have sent in each step."""
+    """Nodes, and the requests and retries that they sent in each step.
+
+    Attributes:
+      size: Nodes that are there at the start.
+      step: Current step.
+      requests: Requests of all nodes, by step.
+      retries: Retries that all nodes sent, by step.
+    """
 
     size: int
     step: int = 0
     requests: list[int] = dataclasses.field(default_factory=list)
-    repeats: list[int] = dataclasses.field(default_factory=list)
+    retries: list[int] = dataclasses.field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.nodes = [Node(self.now, self.size) for _ in range(self.size)]
-        self.requests, self.repeats = [0], [0]
+        self.requests, self.retries = [0], [0]
 
     @property
     def now(self) -> float:
         return START_MS + self.step * STEP_MS
 
-    def chosen(self, group: str) -> list[Node]:
+    def nodes_of(self, group: str) -> list[Node]:
         half = max(1, self.size // 2)
         return {
             ALL: self.nodes,
@@ -68,67 +82,69 @@
         }[group]
 
     def advance(self, steps: int) -> None:
-        """Lets time pass; every node is told the nodes that it knows."""
+        """Advances the time; every node observes the nodes that it knows of."""
         for _ in range(steps):
             self.step += 1
             self.requests.append(0)
-            self.repeats.append(0)
+            self.retries.append(0)
             for node in self.nodes:
-                node.part.observe_nodes(node.known, self.now)
+                node.slack.observe_nodes(node.known, self.now)
 
     def ask(self, group: str, count: int) -> None:
-        """Gives each node of a group some requests."""
-        for node in self.chosen(group):
+        """Sends some requests to each node of a group."""
+        for node in self.nodes_of(group):
             for _ in range(count):
                 node.budget.count_request(self.now)
             self.requests[-1] += count
 
     def repeat(self, group: str, wanted: int) -> None:
-        """Has each node of a group send repeats, as far as it may."""
-        for node in self.chosen(group):
-            self.repeats[-1] += node.repeat(self.now, wanted)
+        """Lets each node of a group send as many retries as it may."""
+        for node in self.nodes_of(group):
+            self.retries[-1] += node.send_retries(self.now, wanted)
 
     def restart(self, group: str) -> None:
-        """Starts the processes of a group anew; they know nothing yet."""
-        anew = self.chosen(group)
+        """Restarts the processes of a group; they know of no node yet."""
+        restarted = self.nodes_of(group)
         self.nodes = [
-            Node(self.now, 0) if node in anew else node for node in self.nodes
+            Node(self.now, 0) if node in restarted else node
+            for node in self.nodes
         ]
 
     def cut(self, group: str) -> None:
-        """Has the nodes of a group know themselves alone.
+        """Partitions the nodes of a group: each knows only of itself.
 
-        One that the store has never named the others to says so instead.
+        A node that the store has never listed the others to still knows of
+        none.
         """
-        for node in self.chosen(group):
+        for node in self.nodes_of(group):
             node.known = min(node.known, 1)
 
     def heal(self) -> None:
-        """Has all nodes know each other."""
+        """Ends all partitions: every node knows of all."""
         for node in self.nodes:
             node.known = len(self.nodes)
 
     def grow(self) -> None:
-        """Starts a fifth more nodes, which the others don't know yet."""
+        """Adds a fifth more nodes, which the others don't know of yet."""
         for _ in range(max(1, self.size // 5)):
             self.nodes.append(Node(self.now, 0))
 
     def shrink(self) -> None:
-        """Ends a third of the nodes."""
+        """Removes a third of the nodes."""
         del self.nodes[-max(1, len(self.nodes) // 3) :]
         self.heal()
 
     def excess(self) -> float:
-        """Returns by how much the worst window exceeds what is allowed."""
+        """Returns by how many retries the worst window exceeds its budget."""
         asked = [0, *itertools.accumulate(self.requests)]
-        sent = [0, *itertools.accumulate(self.repeats)]
+        sent = [0, *itertools.accumulate(self.retries)]
 
         def total(sums: list[int], start: int, end: int) -> int:
             last = len(sums) - 1
             return sums[min(max(end, 0), last)] - sums[min(max(start, 0), last)]
 
         worst = -float("inf")
-        for start in range(len(self.repeats)):
+        for start in range(len(self.retries)):
             end = start + WINDOW_STEPS
             most = max(
                 total(asked, start, end),
@@ -141,6 +157,11 @@
 
 
 def test_callers_that_move_between_nodes_do_not_raise_the_budget() -> None:
+    """Requests shift from one half of the nodes to the other, and back.
+
+    If each node used the larger of its last two windows, the sum over all nodes
+    would count the same callers twice.
+    """
     fleet = Fleet(12)
     fleet.advance(2 * WINDOW_STEPS)
     quarters = [
@@ -160,6 +181,11 @@
 
 
 def test_a_burst_between_two_windows_does_not_raise_the_budget() -> None:
+    """All retries are sent at once, right after a burst of requests.
+
+    The burst lies across two windows. If it counted in full in both, it would
+    allow its retries twice.
+    """
     fleet = Fleet(12)
     for step in range(4 * WINDOW_STEPS):
         fleet.advance(1)
@@ -171,9 +197,13 @@
 
 
 @pytest.mark.parametrize("size", [12, 16, 89, 300])
-def test_nodes_that_know_nobody_do_not_each_use_the_fixed_number(
+def test_partitioned_nodes_do_not_each_use_the_fixed_number(
     size: int,
 ) -> None:
+    """All nodes are partitioned at once.
+
+    A node that knows only of itself would use the full fixed number.
+    """
     fleet = Fleet(size)
     fleet.advance(WINDOW_STEPS + 1)
     fleet.cut(ALL)
@@ -184,6 +214,10 @@
 
 @pytest.mark.parametrize("size", [12, 16, 89, 300])
 def test_restarts_do_not_renew_the_fixed_number(size: int) -> None:
+    """All processes use up their share and restart, four times in a window.
+
+    A new process does not know which retries its predecessor sent.
+    """
     fleet = Fleet(size)
     fleet.advance(WINDOW_STEPS + 1)
     for _ in range(4):
