--- a/tests/models/test_loans.py
+++ b/tests/models/test_loans.py
@@ -65,12 +65,12 @@
             amount = self.nodes[who].lend(BURST / NODES, self.now)
             self.loan = (amount, self.requested_at[-1])
         elif what == "hears" and self.loan is not None:
-            amount, requested_ms = self.loan
+            amount, asked_ms = self.loan
             # A node discards a duplicate loan.
             self.loan = None
             if self.counts_from_arrival:
-                requested_ms = self.now
-            self.nodes[who].borrow(amount, asked_ms=requested_ms)
+                asked_ms = self.now
+            self.nodes[who].borrow(amount, asked_ms=asked_ms)
         elif what == "spends":
             count = 0
             while self.nodes[who].take(self.now):
--- a/tests/models/test_retry_budgets.py
+++ b/tests/models/test_retry_budgets.py
@@ -56,17 +56,17 @@
       size: Nodes that are there at the start.
       step: Current step.
       requests: Requests of all nodes, by step.
-      retries: Retries that all nodes sent, by step.
+      repeats: Retries that all nodes sent, by step.
     """
 
     size: int
     step: int = 0
     requests: list[int] = dataclasses.field(default_factory=list)
-    retries: list[int] = dataclasses.field(default_factory=list)
+    repeats: list[int] = dataclasses.field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.nodes = [Node(self.now, self.size) for _ in range(self.size)]
-        self.requests, self.retries = [0], [0]
+        self.requests, self.repeats = [0], [0]
 
     @property
     def now(self) -> float:
@@ -86,7 +86,7 @@
         for _ in range(steps):
             self.step += 1
             self.requests.append(0)
-            self.retries.append(0)
+            self.repeats.append(0)
             for node in self.nodes:
                 node.slack.observe_nodes(node.known, self.now)
 
@@ -100,7 +100,7 @@
     def repeat(self, group: str, wanted: int) -> None:
         """Lets each node of a group send as many retries as it may."""
         for node in self.nodes_of(group):
-            self.retries[-1] += node.send_retries(self.now, wanted)
+            self.repeats[-1] += node.send_retries(self.now, wanted)
 
     def restart(self, group: str) -> None:
         """Restarts the processes of a group; they know of no node yet."""
@@ -137,14 +137,14 @@
     def excess(self) -> float:
         """Returns by how many retries the worst window exceeds its budget."""
         asked = [0, *itertools.accumulate(self.requests)]
-        sent = [0, *itertools.accumulate(self.retries)]
+        sent = [0, *itertools.accumulate(self.repeats)]
 
         def total(sums: list[int], start: int, end: int) -> int:
             last = len(sums) - 1
             return sums[min(max(end, 0), last)] - sums[min(max(start, 0), last)]
 
         worst = -float("inf")
-        for start in range(len(self.retries)):
+        for start in range(len(self.repeats)):
             end = start + WINDOW_STEPS
             most = max(
                 total(asked, start, end),
