--- a/tests/proof/__init__.py
+++ b/tests/proof/__init__.py
@@ -1,1 +1,1 @@
-"""The promises, proved by checking recorded histories."""
+"""Tests that check the guarantees against recorded histories."""
--- a/tests/proof/histories.py
+++ b/tests/proof/histories.py
@@ -1,4 +1,4 @@
-"""Turning what a world recorded into what the checkers read."""
+"""Converts the records of a world to the input of the checkers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 def asked(
     service: str, replies: list[Reply], *, important: bool = False
 ) -> list[checkers.Asked]:
-    """Returns replies as the checkers read them."""
+    """Returns replies as requests seen by their callers.
+
+    Args:
+      service: Service that was called.
+      replies: What the callers received.
+      important: Whether the requests are payments or confirmations.
+    """
     return [
         checkers.Asked(
             request_id=reply.request_id,
@@ -24,7 +30,7 @@
 
 
 def ran(world: World, *services: str) -> list[checkers.Ran]:
-    """Returns what ran at services."""
+    """Returns the calls that ran at the targets of some services."""
     return [
         checkers.Ran(
             request_id=entry["id"],
--- a/tests/proof/test_histories.py
+++ b/tests/proof/test_histories.py
@@ -1,4 +1,11 @@
-"""Generated histories: calls and failures at any moment, two at a time too."""
+"""Generated histories: calls and failures at any time, also concurrent ones.
+
+Guards against failures that break a guarantee only together or at a certain
+moment: a connection that is cut while a retry is in flight, or an instance that
+leaves while another one fails. Each history runs on real nodes in memory, and
+the checkers examine what callers and targets recorded. The last tests break a
+rule on purpose and require that the checkers find it.
+"""
 
 from __future__ import annotations
 
@@ -33,13 +40,21 @@
 )
 FAULTS = ("cut target", "cut node", "slow", "fail", "leave", "kill target")
 RETRIES = 2
-PATIENCE_SECONDS = 10.5
+REPLY_SECONDS_MAX = 10.5
 SETTLE_SECONDS = 12.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """A call that a history makes."""
+    """A call that a history makes.
+
+    Attributes:
+      at: Seconds after which it is made.
+      via: Index in `NAMES` of the node that it is sent to.
+      path: Index in `PATHS`.
+      timeout_ms: Time-out that it carries.
+      streamed: Whether a POST streams its body.
+    """
 
     at: float
     via: int
@@ -50,7 +65,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A failure that a history brings about."""
+    """A failure that a history injects.
+
+    Attributes:
+      at: Seconds after which it is injected.
+      kind: One of `FAULTS`.
+      where: Index in `NAMES` of the node that it affects.
+    """
 
     at: float
     kind: str
@@ -77,14 +98,20 @@
 
 
 class History:
-    """One history as it runs."""
+    """One history while it runs.
+
+    Attributes:
+      world: Nodes that it runs on.
+      replies: Calls that have ended, with their replies.
+      leaving: Tasks that drain the nodes that leave.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.replies: list[tuple[Call, Reply]] = []
         self.leaving: set[asyncio.Task[int]] = set()
 
-    async def make(self, call: Call) -> None:
+    async def make_call(self, call: Call) -> None:
         await asyncio.sleep(call.at)
         method, path = PATHS[call.path]
         chunks = [(0.02, b"x" * 40_000)] * 3
@@ -98,7 +125,7 @@
         )
         self.replies.append((call, reply))
 
-    async def bring(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at)
         name = NAMES[fault.where]
         place = self.world.places[name]
@@ -127,7 +154,7 @@
             asked = histories.asked(service, [reply])
             found += checkers.answers_are_own(asked)
             found += checkers.not_run_is_true(asked, ran)
-            found += self.reply_is_sound(call, reply)
+            found += self.check_reply(call, reply)
         found += checkers.runs_are_bounded(ran, most=1 + RETRIES)
         found += checkers.keys_stayed_inside(ran)
         fees = {
@@ -147,11 +174,11 @@
             found += self.leftovers(name)
         return found
 
-    def reply_is_sound(self, call: Call, reply: Reply) -> list[str]:
+    def check_reply(self, call: Call, reply: Reply) -> list[str]:
         left = self.world.places[NAMES[call.via]].node.context.draining
         if reply.status == 0 and not left:
             return [f"{reply.request_id} got no answer: {reply.code}"]
-        if reply.seconds > PATIENCE_SECONDS:
+        if reply.seconds > REPLY_SECONDS_MAX:
             return [f"{reply.request_id} took {reply.seconds} s"]
         known = {"", *errors.Code}
         if reply.status and reply.code not in known:
@@ -159,7 +186,7 @@
         return []
 
     def leftovers(self, name: str) -> list[str]:
-        """Returns what a node still holds after all calls have ended."""
+        """Returns what a node has not released after all calls have ended."""
         node = self.world.places[name].node
         held = {
             "running": node.guard.admission.running,
@@ -176,7 +203,7 @@
 
 
 def run_history(calls: Sequence[Call], faults: Sequence[Fault]) -> list[str]:
-    """Runs one history on fresh nodes and returns the violations."""
+    """Runs one history on new nodes and returns the violations."""
 
     async def run() -> list[str]:
         loop = asyncio.get_running_loop()
@@ -187,8 +214,8 @@
         await world.settle()
         history = History(world)
         await asyncio.gather(
-            *(history.make(call) for call in calls),
-            *(history.bring(fault) for fault in faults),
+            *(history.make_call(call) for call in calls),
+            *(history.inject(fault) for fault in faults),
         )
         await asyncio.sleep(SETTLE_SECONDS)
         found = history.violations()
@@ -206,25 +233,35 @@
     assert run_history(calls, faults) == []
 
 
-BUSY = [Call(0.1 * n, 2, 2, 10_000, streamed=False) for n in range(10)]
-CUTS = [Fault(0.111, "cut target", 3), Fault(0.5, "cut target", 2)]
+BUSY_CALLS = [Call(0.1 * n, 2, 2, 10_000, streamed=False) for n in range(10)]
+CUT_CONNECTIONS = [Fault(0.111, "cut target", 3), Fault(0.5, "cut target", 2)]
 
 
 def test_checker_sees_a_false_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A call that reached a target is reported as not run.
+
+    Its caller would send it again, and it would run twice.
+    """
     original = dispatch.Dispatch.fail
 
-    def lying(self: dispatch.Dispatch, code: errors.Code, detail: str) -> None:
+    def fail_as_not_run(
+        self: dispatch.Dispatch, code: errors.Code, detail: str
+    ) -> None:
         self.handed_over = False
         original(self, code, detail)
 
-    monkeypatch.setattr(dispatch.Dispatch, "fail", lying)
-    assert run_history(BUSY, CUTS) != []
+    monkeypatch.setattr(dispatch.Dispatch, "fail", fail_as_not_run)
+    assert run_history(BUSY_CALLS, CUT_CONNECTIONS) != []
 
 
 def test_checker_sees_a_leaked_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A connection to a target is never returned to its pool.
+
+    The pool would run out of connections after a while.
+    """
     monkeypatch.setattr(
         client.TargetPool, "release", lambda pool, connection, clean: None
     )
-    assert run_history(BUSY, []) != []
+    assert run_history(BUSY_CALLS, []) != []
--- a/tests/proof/test_promises.py
+++ b/tests/proof/test_promises.py
@@ -1,8 +1,9 @@
-"""Each promise under the failure that threatens it, and broken on purpose.
+"""Each guarantee under the failure that threatens it, and with its rule off.
 
-Each scenario returns the violations that its checker finds. It runs twice:
-on the product, where there must be none, and with the rule that keeps the
-promise broken, where the checker must find some.
+Each scenario returns the violations that its checker finds. It runs twice: on
+the unmodified code, where there must be none, and with the rule behind the
+guarantee disabled, where the checker must find some. The second run shows that
+the checker can fail.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from tests.proof import histories
 
 Scenario = Callable[[World], Awaitable[list[str]]]
-Break = Callable[[pytest.MonkeyPatch], None]
+BreakRule = Callable[[pytest.MonkeyPatch], None]
 
 
 async def late_answers(world: World) -> list[str]:
-    """A target answers after its caller gave up.
+    """A target answers after its caller has given up.
 
-    If the connection were used again, the late answer would be taken for the
-    next call's: a guest reads another guest's booking.
+    If the connection were reused, the late answer would be taken for the answer
+    to the next call: one guest would read another guest's booking.
     """
     place = await world.start("grades-1", "grades", work_ms=300)
     await world.settle()
@@ -56,8 +57,8 @@
 async def cut_target(world: World) -> list[str]:
     """The connection to a target breaks while it runs a call.
 
-    Whether it ran is unknown then. A caller that is told "not run" pays the
-    fee again.
+    The outcome is unknown then. A caller that receives "not run" would pay the
+    fee a second time.
     """
     await world.start("payments-1", "payments", work_ms=100)
     await world.settle()
@@ -78,20 +79,20 @@
     ]
 
 
-def always_say_not_run(patch: pytest.MonkeyPatch) -> None:
+def always_report_not_run(patch: pytest.MonkeyPatch) -> None:
     refusal = incoming.refusal
 
-    def lying(*arguments: Any, **options: Any) -> Any:
+    def refuse_as_not_run(*arguments: Any, **options: Any) -> Any:
         return refusal(*arguments, **{**options, "not_run": True})
 
-    patch.setattr(incoming, "refusal", lying)
+    patch.setattr(incoming, "refusal", refuse_as_not_run)
 
 
 async def failing_deep_service(world: World) -> list[str]:
     """The deepest of three services fails every call with 502.
 
-    Each hop that retries on its own multiplies the load: one payment becomes
-    27 calls to a service that is already in trouble.
+    If each hop retried independently, the attempts would multiply: one payment
+    would become 27 calls to a service that is already failing.
     """
     for name in ("grades-1", "grades-2"):
         place = await world.start(name, "grades")
@@ -107,7 +108,7 @@
     )
 
 
-def never_use_up_allowance(patch: pytest.MonkeyPatch) -> None:
+def keep_allowance_unlimited(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(allowance.Allowance, "lend", lambda self: self.remaining)
     patch.setattr(
         allowance.Allowance, "give_back", lambda self, unused, lent: None
@@ -115,16 +116,16 @@
 
 
 async def flood_of_browsing(world: World) -> list[str]:
-    """A workspace browses at ten times what the target can serve, and pays.
+    """A workspace browses at ten times the capacity of the target, and pays.
 
-    If payments waited in the same line, a maker's fee would time out behind
-    another's browsing.
+    If payments waited in the same queue without priority, a maker's fee would
+    time out behind the browsing.
     """
     await world.start("payments-1", "payments", slots=4, work_ms=40)
     await world.start("grades-1", "grades")
     await world.settle()
 
-    async def paced(path: str, count: int, gap: float, key: str) -> Any:
+    async def send_paced(path: str, count: int, gap: float, key: str) -> Any:
         calls = []
         for _ in range(count):
             calls.append(
@@ -136,8 +137,8 @@
         return await asyncio.gather(*calls)
 
     browsing, paying = await asyncio.gather(
-        paced("/payments/list", 2_000, 0.001, "cck_test"),
-        paced("/payments/fees", 80, 0.025, "cck_test"),
+        send_paced("/payments/list", 2_000, 0.001, "cck_test"),
+        send_paced("/payments/fees", 80, 0.025, "cck_test"),
     )
     assert any(reply.code == "overloaded" for reply in browsing)
     return checkers.important_shed_last(
@@ -145,7 +146,7 @@
     )
 
 
-def ignore_importance(patch: pytest.MonkeyPatch) -> None:
+def ignore_priorities(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         graph_model,
         "priority",
@@ -154,7 +155,10 @@
 
 
 async def key_on_the_way(world: World) -> list[str]:
-    """A caller shows its key; a target that saw it could use it elsewhere."""
+    """A caller sends its key with a request.
+
+    If the key were forwarded, a target could use it for requests of its own.
+    """
     await world.start("grades-1", "grades")
     await world.start("permits-1", "permits", calls=("/grades/a",))
     await world.settle()
@@ -165,12 +169,16 @@
     )
 
 
-def pass_authorization_on(patch: pytest.MonkeyPatch) -> None:
+def forward_authorization(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(headers, "FROM_CALLER_STRIPPED", headers.HOP_BY_HOP)
 
 
-async def traffic_over_a_leave(world: World) -> tuple[list[Any], float]:
-    """Steady traffic while one of two instances is told to stop."""
+async def send_traffic_during_leave(world: World) -> tuple[list[Any], float]:
+    """Sends steady traffic while one of two instances stops.
+
+    Returns:
+      The replies, and the time at which the instance began to leave.
+    """
     leaving = await world.start("grades-1", "grades", work_ms=50)
     await world.start("grades-2", "grades", work_ms=50)
     await world.start("permits-1", "permits")
@@ -197,12 +205,12 @@
 
 
 async def leaving_target(world: World) -> list[str]:
-    """An instance leaves while others still send it calls.
+    """An instance leaves while other nodes still send it calls.
 
-    Work that it gets now is cut when it is gone, and a lot of paper bags
-    stands uncertified at the market gate.
+    Calls that it still receives would be aborted when it stops, and a batch of
+    paper bags would stay uncertified.
     """
-    replies, left_at = await traffic_over_a_leave(world)
+    replies, left_at = await send_traffic_during_leave(world)
     assert [reply.code for reply in replies if not reply.whole] == []
     target = world.places["grades-1"].target
     ran = [
@@ -212,13 +220,16 @@
     return checkers.nothing_after(ran, left_at=left_at + 0.01)
 
 
-def leave_without_a_word(patch: pytest.MonkeyPatch) -> None:
+def leave_without_announcement(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(gossip.Gossip, "announce", lambda self: None)
     patch.setattr(arrival, "precheck", arrival.check_key)
 
 
 async def upload_over_a_shutdown(world: World) -> list[str]:
-    """A slow upload is under way when its target's node is told to stop."""
+    """A slow upload is in progress when the node of its target stops.
+
+    If the node did not wait for it, the upload would be aborted.
+    """
     place = await world.start("grades-1", "grades")
     await world.settle()
     chunks = [(0.2, b"x" * 50_000) for _ in range(20)]
@@ -233,21 +244,21 @@
     return [] if reply.whole else [f"the upload ended with {reply.code}"]
 
 
-def do_not_wait(patch: pytest.MonkeyPatch) -> None:
-    async def at_once(node: app.Node) -> None:
+def stop_without_waiting(patch: pytest.MonkeyPatch) -> None:
+    async def return_at_once(node: app.Node) -> None:
         del node
 
-    patch.setattr(drain, "finish_calls", at_once)
+    patch.setattr(drain, "finish_calls", return_at_once)
 
 
-CASES: list[tuple[Scenario, Break]] = [
+CASES: list[tuple[Scenario, BreakRule]] = [
     (late_answers, reuse_any_connection),
-    (cut_target, always_say_not_run),
-    (failing_deep_service, never_use_up_allowance),
-    (flood_of_browsing, ignore_importance),
-    (key_on_the_way, pass_authorization_on),
-    (leaving_target, leave_without_a_word),
-    (upload_over_a_shutdown, do_not_wait),
+    (cut_target, always_report_not_run),
+    (failing_deep_service, keep_allowance_unlimited),
+    (flood_of_browsing, ignore_priorities),
+    (key_on_the_way, forward_authorization),
+    (leaving_target, leave_without_announcement),
+    (upload_over_a_shutdown, stop_without_waiting),
 ]
 NAMES = [scenario.__name__ for scenario, _ in CASES]
 
@@ -257,12 +268,12 @@
     assert await scenario(world) == []
 
 
-@pytest.mark.parametrize(("scenario", "broken"), CASES, ids=NAMES)
+@pytest.mark.parametrize(("scenario", "break_rule"), CASES, ids=NAMES)
 async def test_checker_sees_the_broken_rule(
     world: World,
     monkeypatch: pytest.MonkeyPatch,
     scenario: Scenario,
-    broken: Break,
+    break_rule: BreakRule,
 ) -> None:
-    broken(monkeypatch)
+    break_rule(monkeypatch)
     assert await scenario(world) != []
