--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes at the interfaces: time, network and store."""
+"""Fakes of the interfaces to time, network and store."""
--- a/tests/fakes/leased.py
+++ b/tests/fakes/leased.py
@@ -1,4 +1,4 @@
-"""The store port in memory, with the faults that nodes have to bear."""
+"""In-memory store with leases, and faults that nodes must tolerate."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
     """One store for all nodes.
 
     Attributes:
-      items: What it holds, with the lease of each key.
-      refusing: Whether it turns every call away.
-      silent: Whether it answers nothing.
-      losing: Whether it does writes and loses the answers.
-      late: Whether it does writes later, without an answer.
-      compacted: Revision up to which its history is gone.
-      behind: Keys that stale reads know; None for all.
-      older: What stale reads show; None for what is there now.
-      reads: Calls that read.
-      writes: Calls that write.
-      calls: Calls by the node that made them and by kind.
+      items: Items and their leases, by key.
+      refusing: Whether it refuses every call.
+      silent: Whether it answers no call.
+      losing: Whether it applies writes and loses the answers.
+      late: Whether it applies writes later, without an answer.
+      compacted: Revision up to which the history is compacted.
+      behind: Keys that stale reads return; None for all.
+      older: Items that stale reads return; None for the current ones.
+      reads: Number of calls that read.
+      writes: Number of calls that write.
+      calls: Number of calls by node and kind.
+      leases: Leases that have not ended.
+      numbers: Source of revisions and lease ids.
     """
 
     items: dict[str, tuple[leased.Item, int]] = dataclasses.field(
@@ -53,7 +55,12 @@
     )
 
     def made(self, *kinds: str, by: str = "") -> int:
-        """Returns how many calls of some kinds were made, by one or all."""
+        """Returns how many calls of some kinds were made.
+
+        Args:
+          kinds: Kinds of call.
+          by: Node that made them; all nodes if empty.
+        """
         return sum(
             count
             for (node, kind), count in self.calls.items()
@@ -71,18 +78,18 @@
 
     @property
     def revision(self) -> int:
-        """The newest revision."""
+        """Newest revision of the items."""
         return max(
             (held[0].revision for held in self.items.values()), default=0
         )
 
     def operate(self, key: str, value: bytes) -> None:
-        """Writes as the operator does."""
+        """Writes a key without a lease, as the operator does."""
         item = leased.Item(key, value, next(self.numbers))
         self.items[key] = (item, 0)
 
     def lapse(self) -> None:
-        """Ends all leases, with their keys."""
+        """Expires all leases and deletes their keys."""
         self.leases.clear()
         self.items = {
             key: held for key, held in self.items.items() if not held[1]
@@ -143,7 +150,7 @@
     def write(
         self, key: str, value: bytes, lease: int, expected: int
     ) -> leased.PutAnswer:
-        """Carries out a write, whether or not somebody still waits for it."""
+        """Applies a write, even if its caller no longer waits for it."""
         held = self.items.get(key)
         if (held[0].revision if held else 0) != expected:
             return leased.PutAnswer(
--- a/tests/fakes/loop.py
+++ b/tests/fakes/loop.py
@@ -1,8 +1,8 @@
-"""An event loop whose time jumps and whose network lies in memory.
+"""An event loop with simulated time and an in-memory network.
 
-The real node runs on it unchanged. Nothing waits for the machine, so a test
-gives the same verdict on each run. It knows connections, datagrams and who
-owns them, and nothing of nodes.
+The real node runs on it unchanged. No wait depends on the machine, so a test is
+deterministic. The loop models connections, datagrams and their owners, and has
+no knowledge of nodes.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class JumpingSelector(selectors.SelectSelector):
-    """Lets time jump where a real selector would wait."""
+    """Advances the simulated time where a real selector would wait."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,15 +32,29 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing will ever happen: all tasks wait")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         self.now += max(0.0, timeout)
         if self.now > SECONDS_MAX:
-            raise RuntimeError("the test goes on for too long in its own time")
+            raise RuntimeError("the test exceeds its limit of simulated time")
         return []
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection in memory."""
+    """One end of an in-memory connection.
+
+    Attributes:
+      loop: Loop that it belongs to.
+      protocol: Protocol of this end.
+      owner: Owner of this end.
+      peer: The other end.
+      on_way: Data in transit to this end.
+      inbox: Data that arrived and is not read yet.
+      reading: Whether the protocol reads.
+      closing: Whether the connection is closed or closing.
+      lost: Whether the connection has ended.
+      writer_paused: Whether this end's protocol must not write.
+      context: Context in which callbacks of this end run.
+    """
 
     def __init__(
         self, loop: MemoryLoop, protocol: asyncio.Protocol, owner: str
@@ -78,12 +92,13 @@
         return True
 
     def write_eof(self) -> None:
-        """Half-closing is not needed by any test."""
+        """Does nothing: no test needs a half-closed connection."""
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self.closing or self.peer is None or not data:
             return
-        # Timers of one moment fire in any order; the queue keeps the bytes'.
+        # Timers due at the same time fire in any order; the queue keeps the
+        # order of the bytes.
         self.peer.on_way.append(bytes(data))
         self.loop.call_later(
             LATENCY_SECONDS, self.peer.deliver, context=self.peer.context
@@ -137,7 +152,11 @@
         self.close()
 
     def lose(self, *, tell_owner: bool = True) -> None:
-        """Ends the connection on both ends."""
+        """Ends the connection at both ends.
+
+        Args:
+          tell_owner: Whether the protocol of this end is notified.
+        """
         if self.lost:
             return
         self.lost = self.closing = True
@@ -160,7 +179,7 @@
 
 
 class MemoryDatagrams(asyncio.DatagramTransport):
-    """A datagram socket in memory."""
+    """An in-memory datagram socket."""
 
     def __init__(
         self,
@@ -196,7 +215,7 @@
 
 
 class MemoryServer:
-    """A listening port in memory."""
+    """An in-memory listening port."""
 
     sockets: tuple[()] = ()
 
@@ -211,11 +230,20 @@
         self.loop.ports.pop(self.address, None)
 
     async def wait_closed(self) -> None:
-        """Nothing is left to wait for."""
+        """Returns at once: the port closes synchronously."""
 
 
 class MemoryLoop(asyncio.SelectorEventLoop):
-    """The loop."""
+    """Event loop with simulated time and an in-memory network.
+
+    Attributes:
+      jumping: Selector that holds the simulated time.
+      ports: Protocol factory and owner of each listening port, by address.
+      sockets: Datagram sockets by address.
+      transports: All ends of connections.
+      cuts: Pairs of owners that cannot connect or send datagrams.
+      silences: Pairs of owners whose open connections deliver nothing.
+    """
 
     def __init__(self) -> None:
         self.jumping = JumpingSelector()
@@ -232,7 +260,7 @@
         return self.jumping.now
 
     def cut_off(self, *names: str, others: Iterable[str]) -> None:
-        """Cuts owners off from others; standing connections go silent."""
+        """Partitions owners from others; open connections deliver nothing."""
         between = {
             frozenset((name, other))
             for name in names
@@ -264,7 +292,9 @@
         await asyncio.sleep(LATENCY_SECONDS)
         listening = self.ports.get((str(host), int(port)))
         if listening is None or self.is_cut(OWNER.get(), listening[1]):
-            raise ConnectionRefusedError(f"{host}:{port} refuses")
+            raise ConnectionRefusedError(
+                f"{host}:{port} refused the connection"
+            )
         here = MemoryTransport(self, protocol_factory(), OWNER.get())
         there = MemoryTransport(self, listening[0](), listening[1])
         here.peer, there.peer = there, here
@@ -283,7 +313,7 @@
         return socket, protocol
 
     def drop_connections(self, *owners: str) -> None:
-        """Cuts the standing connections of one owner, or between two."""
+        """Drops the open connections of one owner, or between two."""
         for transport in list(self.transports):
             peer = transport.peer
             ends = {transport.owner, peer.owner if peer else ""}
@@ -291,7 +321,7 @@
                 transport.lose()
 
     def kill(self, owner: str) -> None:
-        """Ends all that an owner has, without a word to it."""
+        """Closes an owner's ports, sockets and connections without notice."""
         for address, (_, holder) in list(self.ports.items()):
             if holder == owner:
                 del self.ports[address]
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -1,4 +1,4 @@
-"""Real nodes of a platform's deployment on the memory loop."""
+"""Real nodes of a platform's deployment on the in-memory event loop."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 KEY = "key-one"
 HOST = "shop.example"
 SHARING_SECONDS = 15.0
-"""Time after its start from which a node has a part of the fixed repeats."""
+"""Time after its start from which a node has a share of the retry slack."""
 WALL_MS = 1_700_000_000_000.0
 
 DEPLOYMENT = node.Deployment(
@@ -51,7 +51,7 @@
     keyless: bool = False,
     split: list[dict[str, Any]] | None = None,
 ) -> list[Any]:
-    """Returns the row of a route below `/NAME/`."""
+    """Returns the row of a route with the prefix `/NAME/`."""
     return [
         name, HOST, f"/{name}/", kind, timeout, 1.0, 1, split, attempts,
         keyless, None if split else service,
@@ -99,13 +99,13 @@
 
 
 def silent(seen: http_target.Seen) -> None:
-    """Gives no answer."""
+    """Leaves a request unanswered."""
     del seen
 
 
 @dataclasses.dataclass
 class Reply:
-    """What a caller got; status 0 when the connection ended first."""
+    """Response to a caller; status 0 if the connection ended before it."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -113,7 +113,15 @@
 
 
 class Caller(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection of a caller.
+
+    Attributes:
+      parser: Parser of the responses.
+      transport: Transport; None before the connection is made.
+      replies: Complete final responses.
+      more: Set when a response is complete or the connection ends.
+      ended: Whether the connection has ended.
+    """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -153,7 +161,7 @@
         self.transport.write(data)
 
     async def reply(self, number: int = 1) -> Reply:
-        """Waits for an answer; the first by default."""
+        """Waits for the response with a given number, counted from 1."""
         while len(self.replies) < number and not self.ended:
             self.more.clear()
             await self.more.wait()
@@ -176,7 +184,7 @@
     key: str | None = KEY,
     extra: str = "",
 ) -> bytes:
-    """Returns the bytes of a request."""
+    """Returns an encoded request."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {HOST}",
@@ -210,7 +218,9 @@
     Attributes:
       store: The store.
       places: Nodes with their targets, by name.
-      lines: What the nodes logged.
+      lines: Log lines of the nodes.
+      starts: Number of node processes started.
+      clock: Clock of all nodes.
     """
 
     def __init__(self, loop: fake_loop.MemoryLoop) -> None:
@@ -256,7 +266,7 @@
         report: bool = True,
         slots: int = 20,
     ) -> Place:
-        """Starts a node beside a new target."""
+        """Starts a new target and its node."""
         settings = self.settings(name, len(self.places) + 1, service, domain)
         target = http_target.HttpTarget(target_id=f"t-{name}")
         host, port = proxy_settings.split_address(settings.target)
@@ -304,7 +314,7 @@
         await place.node.start()
 
     async def restart(self, place: Place) -> None:
-        """Kills a node and starts it again, with nothing that it knew."""
+        """Kills a node and starts it again without any of its state."""
         self.kill(place)
         place.node = self.build(place.settings)
         await self.start(place)
@@ -322,7 +332,7 @@
         slots: int = 20,
         sequence: int | None = None,
     ) -> int:
-        """Sends a heartbeat; returns its status."""
+        """Sends a target's report to its node and returns the HTTP status."""
         if sequence is None:
             place.sequence += 1
             sequence = place.sequence
@@ -366,11 +376,11 @@
         return cast(Caller, caller)
 
     async def connect(self, place: Place) -> Caller:
-        """Opens a caller's connection."""
+        """Opens a caller's connection to a node."""
         return await self.dial(place.settings.listen.callers)
 
     async def ask(self, place: Place, data: bytes) -> Reply:
-        """Sends one request on a connection of its own."""
+        """Sends one request on a new connection and returns the response."""
         caller = await self.connect(place)
         caller.send(data)
         reply = await caller.reply()
@@ -378,10 +388,10 @@
         return reply
 
     async def repeated_run(self, request_id: str) -> Place:
-        """Returns the place of a target that runs a rejected request.
+        """Returns the place of a target that runs a retry.
 
-        Another target has rejected it before, so its run is a repeat. It does
-        not answer until it is given a script.
+        Another target has rejected the request before. This one does not answer
+        until its script is replaced.
         """
         front = await self.add("a", service="other")
         near = await self.add("b")
@@ -395,7 +405,7 @@
         return far
 
     async def settle(self, seconds: float = 1.5) -> None:
-        """Lets the nodes find each other."""
+        """Waits until the nodes have discovered each other."""
         await asyncio.sleep(seconds)
 
     async def close(self) -> None:
@@ -404,7 +414,7 @@
 
 
 async def open_mesh(loop: fake_loop.MemoryLoop) -> AsyncIterator[Mesh]:
-    """Yields an empty mesh with a first configuration."""
+    """Yields a mesh without nodes, with a first configuration stored."""
     mesh = Mesh(loop)
     mesh.store.operate(names.CONFIG_KEY, document(1))
     yield mesh
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, behind the port."""
+"""In-memory implementation of the port to the platform's store."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
     """A store that can be down or lose answers.
 
     Attributes:
-      down: All calls fail.
-      lose_answers: So many writes take effect and lose their answer.
-      calls: Calls that came.
+      values: Entries by key.
+      index: Index of the latest change.
+      down: Whether all calls fail.
+      lose_answers: Number of next writes that take effect without an answer.
+      calls: Number of calls received.
+      changed: Set when an entry changes, then replaced by a new event.
     """
 
     def __init__(self) -> None:
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""A few real nodes on the memory loop, with stand-in targets and callers."""
+"""Real nodes on the in-memory event loop, with stand-in targets and callers."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 @dataclasses.dataclass
 class Reply:
-    """What a caller got.
+    """Response that a caller received.
 
     Attributes:
       request_id: Id that the request carried.
-      status: HTTP status; 0 when the connection was cut.
-      body: Whole body.
-      fields: The body as JSON; empty when it is none.
+      status: HTTP status; 0 if no complete response was received.
+      body: Complete body.
+      fields: The body parsed as JSON; empty if it is not JSON.
       headers: Headers.
-      seconds: Time it took.
+      seconds: Time from the request to the response.
     """
 
     request_id: str
@@ -104,7 +104,15 @@
 
 
 class World:
-    """The nodes of one test."""
+    """The nodes of one test, their targets and their store.
+
+    Attributes:
+      loop: Loop that they run on.
+      store: Store of all nodes.
+      places: Nodes with their targets, by name.
+      requests: Number of calls made.
+      pools: Callers' connections, by node.
+    """
 
     def __init__(self, loop: fake_loop.MemoryLoop) -> None:
         self.loop = loop
@@ -198,11 +206,11 @@
     async def run_as(
         self, context: contextvars.Context, work: Coroutine[Any, Any, Any]
     ) -> Any:
-        """Runs work as the owner of a context."""
+        """Runs a coroutine as the owner of a context."""
         return await self.loop.create_task(work, context=context)
 
     async def settle(self, seconds: float = 3.0) -> None:
-        """Lets the nodes find each other."""
+        """Waits until the nodes have discovered each other."""
         await asyncio.sleep(seconds)
 
     async def call(
@@ -217,17 +225,17 @@
         context: str | None = None,
         **fields: str,
     ) -> Reply:
-        """Makes one call and returns what came back.
+        """Makes one call and returns the response.
 
         Args:
-          via: Node that takes the call.
+          via: Node that receives the call.
           path: Path with the service.
           method: HTTP method.
-          key: Key to show.
-          body: Whole body.
-          context: Call context to show.
+          key: API key to send; None for none.
+          body: Complete body.
+          context: Call context to send; None for none.
           chunks: A streamed body: pauses in seconds and bytes.
-          **fields: Headers, with underscores for dashes.
+          **fields: Headers, with underscores in place of hyphens.
         """
         self.requests += 1
         reply = Reply(request_id=f"r{self.requests}")
@@ -278,7 +286,7 @@
         return self.pools[via]
 
     def history(self, service: str) -> list[dict[str, Any]]:
-        """Returns what ran at the targets of a service."""
+        """Returns the calls that ran at the targets of a service."""
         return [
             entry
             for place in self.places.values()
@@ -295,7 +303,7 @@
 async def send_chunks(
     connection: client.TargetConnection, chunks: list[tuple[float, bytes]]
 ) -> None:
-    """Sends a body in parts."""
+    """Sends a body in chunks, each after its pause."""
     for number, (pause, chunk) in enumerate(chunks):
         await asyncio.sleep(pause)
         await connection.send(chunk, last=number == len(chunks) - 1)
@@ -304,7 +312,7 @@
 async def open_world(
     loop: fake_loop.MemoryLoop,
 ) -> AsyncIterator[World]:
-    """Opens a world and stops it."""
+    """Yields a world without nodes, and stops its nodes at the end."""
     world = World(loop)
     try:
         yield world
