--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults against real nodes, and the promises checked meanwhile."""
+"""Injects random faults into real nodes and checks their promises."""
--- a/bench/soak/own.py
+++ b/bench/soak/own.py
@@ -1,4 +1,4 @@
-"""The soak on the own interface: nodes, keys and once-only payments."""
+"""Soak of the product's own interface: nodes, keys, once-only payments."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from bench.soak import processes, run
 from bench.standins import target as target_standin
 
-CALM_SECONDS = 7.0
+RECOVERY_SECONDS = 7.0
 AFTER_SECONDS = 2.0
 ONCE = load.Kind(
     "once", "POST", "/payments/fees", 15.0, 100,
@@ -24,12 +24,15 @@
 
 
 class World:
-    """Nodes, targets and the store as processes, and what was seen.
+    """Nodes, targets and the store as processes, with the observed outcomes.
 
     Attributes:
-      running: The processes.
-      restarts: Restarts under way, by process.
-      ended: Nodes that ended of their own.
+      running: Processes of the fleet.
+      rng: Chooses nodes.
+      restarts: Number of restarts in progress, by process name.
+      ended: Instance and exit status of each node that exited unexpectedly.
+      outcomes: Outcome of each request that was sent.
+      key: API key of the workspace that sends the requests.
     """
 
     def __init__(self, running: fleet.Fleet, rng: random.Random) -> None:
@@ -41,7 +44,7 @@
         self.key = ""
 
     def start(self) -> None:
-        """Starts everything, and configures it as operators do."""
+        """Starts all processes and applies the configuration."""
         running = self.running
         running.start_store()
         running.plan(
@@ -58,11 +61,11 @@
         self.key = keys["mill-1"]
 
     def unit(self) -> fleet.Unit:
-        """Returns a node by chance."""
+        """Returns a random node with its target."""
         return self.rng.choice(self.running.units)
 
     async def restart(self, unit: fleet.Unit, number: signal.Signals) -> None:
-        """Ends a node and starts it again."""
+        """Ends a node's process with a signal and restarts it."""
         running = self.running
         name = f"node-{unit.instance}"
         self.restarts[name] = self.restarts.get(name, 0) + 1
@@ -76,7 +79,7 @@
         self.restarts[name] -= 1
 
     async def supervise(self) -> None:
-        """Notes nodes that end of their own, and starts them again."""
+        """Records and restarts nodes that exit unexpectedly."""
         while True:
             await asyncio.sleep(processes.POLL_SECONDS)
             for unit in self.running.units:
@@ -87,7 +90,7 @@
                     await self.restart(unit, signal.SIGKILL)
 
     async def send(self, seconds: float, *, seed: int) -> list[load.Outcome]:
-        """Sends all kinds for a time; returns what became of them."""
+        """Sends requests of all kinds and returns their outcomes."""
         sender = load.Load(
             [unit.callers for unit in self.running.units], seed=seed
         )
@@ -98,7 +101,7 @@
         return sender.outcomes
 
     async def ran(self) -> list[checkers.Ran]:
-        """Returns what ran at the targets of payments."""
+        """Returns the runs at the targets of the payments service."""
         return [
             checkers.Ran(entry["id"], "payments", operation=entry["operation"])
             for unit in self.running.units
@@ -111,18 +114,18 @@
 
 
 async def kill(world: World, rng: random.Random) -> None:
-    """Kills a node, or two at once."""
+    """Kills one node, or two at once."""
     units = rng.sample(world.running.units, rng.choice((1, 1, 2)))
     await asyncio.gather(*(world.restart(u, signal.SIGKILL) for u in units))
 
 
 async def stop_gracefully(world: World, rng: random.Random) -> None:
-    """Stops a node as the platform does."""
+    """Stops a node with SIGTERM, as the platform does."""
     await world.restart(rng.choice(world.running.units), signal.SIGTERM)
 
 
 async def pause(world: World, rng: random.Random) -> None:
-    """Freezes a node for a while."""
+    """Suspends a node's process for the duration of the fault."""
     name = f"node-{world.unit().instance}"
     process = world.running.processes[name]
     if process.poll() is None:
@@ -133,7 +136,7 @@
 
 
 async def spoil_store(world: World, rng: random.Random) -> None:
-    """Has the store misbehave."""
+    """Takes the store down, or has it lose answers or writes."""
     faults: dict[str, object] = rng.choice(
         [{"down": True}, {"lose_answers": 20}, {"lose_writes": 20}]
     )
@@ -143,7 +146,7 @@
 
 
 async def spoil_target(world: World, rng: random.Random) -> None:
-    """Has a target fail part of its calls, or work slowly."""
+    """Makes a target fail a share of its calls, or work slowly."""
     unit = world.unit()
     change = rng.choice([{"fail_ratio": 0.4}, {"slow": 20.0}])
     await world.running.control(unit, **change)
@@ -157,7 +160,7 @@
 
 
 def broken(outcomes: list[load.Outcome], ran: list[checkers.Ran]) -> list[str]:
-    """Returns a line for each promise that was broken."""
+    """Returns one line for each broken promise."""
     kinds = {outcome.request_id: outcome.kind for outcome in outcomes}
     once = [r for r in ran if kinds.get(r.request_id) == ONCE.name]
     charged = [r for r in ran if kinds.get(r.request_id) == CHARGE.name]
@@ -186,12 +189,12 @@
 
 
 async def play(running: fleet.Fleet, seed: int, seconds: float) -> run.Result:
-    """Plays one run on processes that have been started."""
+    """Runs load and faults with one seed, then checks the promises."""
     rng = random.Random(seed)
     world = World(running, random.Random(seed + 1))
     await asyncio.to_thread(world.start)
     await running.wait_ready()
-    told: list[str] = []
+    injected: list[str] = []
     watching = asyncio.create_task(world.supervise())
     await asyncio.gather(
         world.send(seconds, seed=seed),
@@ -201,12 +204,12 @@
                 FAULTS,
                 random.Random(rng.random()),
                 seconds - 1,
-                told,
+                injected,
             )
             for _ in range(2)
         ),
     )
-    await asyncio.sleep(CALM_SECONDS)
+    await asyncio.sleep(RECOVERY_SECONDS)
     after = await world.send(AFTER_SECONDS, seed=seed + 2)
     watching.cancel()
     with contextlib.suppress(asyncio.CancelledError):
@@ -216,19 +219,19 @@
     return run.Result(
         seed,
         len(world.outcomes),
-        share_whole(world.outcomes),
-        share_whole(after),
+        share_complete(world.outcomes),
+        share_complete(after),
         lines,
-        told,
+        injected,
     )
 
 
-def share_whole(outcomes: list[load.Outcome]) -> float:
-    """Returns the part of the requests that got their whole answer."""
+def share_complete(outcomes: list[load.Outcome]) -> float:
+    """Returns the share of requests that got their complete answer."""
     return sum(item.whole for item in outcomes) / max(1, len(outcomes))
 
 
 def run_own(seed: int, seconds: float) -> run.Result:
-    """Plays one run in a loop of its own."""
+    """Runs one seed on a new fleet and event loop."""
     with fleet.open_fleet() as running:
         return asyncio.run(play(running, seed, seconds))
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -1,4 +1,4 @@
-"""Ending processes that somebody else may be ending too."""
+"""Restarts of processes that overlapping faults may end at the same time."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 async def replace(
-    present: Callable[[], subprocess.Popen[bytes] | None],
+    current: Callable[[], subprocess.Popen[bytes] | None],
     start: Callable[[], None],
     number: signal.Signals,
 ) -> None:
-    """Ends a process and starts it again.
+    """Ends a process with a signal and starts its successor once.
 
-    Series of faults overlap: the process may be ending already for another
-    one. It gets this signal as well, and is started again once; started
-    twice, the second would find its ports taken.
+    Fault series overlap, so another one may be ending the same process. Both
+    send their signals, but only one starts the successor: a second successor
+    would find the ports in use.
 
     Args:
-      present: Returns the process that stands now.
-      start: Starts it.
-      number: Signal that ends it.
+      current: Returns the current process, or None.
+      start: Starts the successor and makes it the current process.
+      number: Signal to send.
     """
-    process = present()
+    process = current()
     if process is not None and process.poll() is None:
         process.send_signal(number)
     while process is not None and process.poll() is None:  # noqa: ASYNC110
         await asyncio.sleep(POLL_SECONDS)
-    if present() is process:
+    if current() is process:
         start()
--- a/bench/soak/promises.py
+++ b/bench/soak/promises.py
@@ -1,4 +1,4 @@
-"""What callers and targets saw, and the promises that it must keep."""
+"""Record of what callers and targets observed, and checks of the promises."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """A request as its caller saw it.
+    """A request as its caller observed it.
 
     Attributes:
-      request_id: Its id.
-      key: Key that it carried.
-      idempotent: Whether it may run more than once.
-      at: When it was sent.
-      body: Its body.
-      status: Status of its answer; 0 without a whole one.
-      answer: Body of its answer.
-      answered_id: Id on its answer.
+      request_id: Request id.
+      key: API key in the request.
+      idempotent: Whether the request may run more than once.
+      at: Time of sending, in seconds of the monotonic clock.
+      body: Request body.
+      status: Status of the answer; 0 if no complete answer was received.
+      answer: Body of the answer.
+      answered_id: Request id in the answer.
     """
 
     request_id: str
@@ -37,15 +37,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """A run as a target saw it.
+    """One run of a request as its target observed it.
 
     Attributes:
-      request_id: Its id.
-      target_id: The target.
-      at: When it began.
-      body: Its body.
-      workspace: Workspace as the target was told.
-      expected: Target that the request was meant for.
+      request_id: Request id.
+      target_id: Target that ran the request.
+      at: Start of the run, in seconds of the monotonic clock.
+      body: Request body.
+      workspace: Workspace named in the request's header.
+      expected: Id of the target that the node addressed the request to.
     """
 
     request_id: str
@@ -58,14 +58,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """All that was seen.
+    """Everything that callers and targets observed.
 
     Attributes:
       sent: Requests by id.
-      ran: Runs, in order.
-      withdrawn: When each key was taken away.
-      left: When each target's leave was acknowledged.
-      ended: Processes that ended of their own.
+      ran: Runs in their order.
+      withdrawn: Time at which each key was withdrawn.
+      left: Time at which each target's draining report was acknowledged.
+      ended: Name and exit status of each process that exited unexpectedly.
     """
 
     sent: dict[str, Sent] = dataclasses.field(default_factory=dict)
@@ -76,7 +76,7 @@
 
 
 def broken(record: Record) -> Iterator[str]:
-    """Yields a line for each promise that was broken."""
+    """Yields one line for each broken promise."""
     for ended in record.ended:
         yield f"ENDED: {ended}"
     runs: dict[str, int] = {}
@@ -93,7 +93,7 @@
 
 
 def broken_by_run(record: Record, ran: Ran) -> Iterator[str]:
-    """Yields what one run breaks."""
+    """Yields the promises that one run breaks."""
     sent = record.sent.get(ran.request_id)
     if sent is None:
         yield f"UNASKED: {ran.request_id} ran and nobody sent it"
@@ -102,16 +102,16 @@
         yield f"UNASKED: {ran.request_id} ran with another body or workspace"
     if ran.expected != ran.target_id:
         yield f"ROUTE: {ran.request_id} ran at {ran.target_id}"
-    gone = record.withdrawn.get(sent.key)
-    if gone is not None and sent.at > gone + REVOKE_SECONDS:
+    withdrawn_at = record.withdrawn.get(sent.key)
+    if withdrawn_at is not None and sent.at > withdrawn_at + REVOKE_SECONDS:
         yield f"CONFIG: {ran.request_id} ran with a withdrawn key"
-    left = record.left.get(ran.target_id)
-    if left is not None and ran.at > left + DRAIN_SECONDS:
+    left_at = record.left.get(ran.target_id)
+    if left_at is not None and ran.at > left_at + DRAIN_SECONDS:
         yield f"DRAIN: {ran.request_id} came to {ran.target_id}, which left"
 
 
 def broken_by_answer(sent: Sent, runs: int) -> Iterator[str]:
-    """Yields what one answer breaks."""
+    """Yields the promises that the answer to one request breaks."""
     if not 200 <= sent.status < 300:
         return
     if not runs:
@@ -123,5 +123,5 @@
 
 
 def answer_to(request_id: str) -> bytes:
-    """Returns the body that targets answer a request with."""
+    """Returns the body with which targets answer a request."""
     return f"done {request_id} ".encode() * 20
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: faults in overlapping series, load, then the promises."""
+"""One seeded run: overlapping series of faults under load, then the checks."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 NODES = 6
 PER_SECOND = 60.0
 START_SECONDS = 3.0
-CALM_SECONDS = 7.0
+RECOVERY_SECONDS = 7.0
 REGRESSIONS = pathlib.Path(__file__).parent / "regressions.txt"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What a run showed.
+    """Result of one run.
 
     Attributes:
-      seed: Its seed.
-      sent: Requests.
-      served: Part of them that got a 2xx.
-      served_after: The same, once the faults had passed.
-      broken: Promises that were broken.
-      faults: Faults in their order.
+      seed: Seed of the run.
+      sent: Number of requests sent.
+      served: Share of the requests that were answered with a 2xx status.
+      served_after: The same share, for requests sent after the last fault.
+      broken: One line for each broken promise.
+      faults: Names of the injected faults in their order.
     """
 
     seed: int
@@ -42,49 +42,49 @@
     faults: list[str]
 
 
-Played = TypeVar("Played")
+AnyWorld = TypeVar("AnyWorld")
 Fault = Callable[[world.World, random.Random], Awaitable[None]]
 
 
 async def hold(rng: random.Random) -> None:
-    """Lets a fault last."""
+    """Waits for the random duration of a fault."""
     await asyncio.sleep(rng.uniform(0.5, 3.0))
 
 
 async def kill(fleet: world.World, rng: random.Random) -> None:
-    """Kills some nodes at once; they start again."""
+    """Kills one, two or all nodes at once and restarts them."""
     count = rng.choice((1, 1, 2, len(fleet.places)))
-    places = rng.sample(fleet.places, count)
+    instances = rng.sample(fleet.places, count)
     await asyncio.gather(
-        *(fleet.restart(place, signal.SIGKILL) for place in places)
+        *(fleet.restart(instance, signal.SIGKILL) for instance in instances)
     )
 
 
 async def stop_gracefully(fleet: world.World, rng: random.Random) -> None:
-    """Stops a node as the platform does; it starts again."""
+    """Stops a node with SIGTERM, as the platform does, and restarts it."""
     await fleet.restart(rng.choice(fleet.places), signal.SIGTERM)
 
 
 async def pause(fleet: world.World, rng: random.Random) -> None:
-    """Freezes a node for a while."""
-    place = rng.choice(fleet.places)
-    fleet.send_signal(place, signal.SIGSTOP)
+    """Suspends a node's process for the duration of the fault."""
+    instance = rng.choice(fleet.places)
+    fleet.send_signal(instance, signal.SIGSTOP)
     await hold(rng)
-    fleet.send_signal(place, signal.SIGCONT)
+    fleet.send_signal(instance, signal.SIGCONT)
 
 
 async def reread(fleet: world.World, rng: random.Random) -> None:
-    """Has nodes read their settings again."""
-    for place in rng.sample(fleet.places, 3):
-        fleet.send_signal(place, signal.SIGHUP)
+    """Has three nodes reload their settings."""
+    for instance in rng.sample(fleet.places, 3):
+        fleet.send_signal(instance, signal.SIGHUP)
 
 
 async def spoil_wire(fleet: world.World, rng: random.Random) -> None:
-    """Delays, cuts or silences the streams to a node."""
-    place = rng.choice(fleet.places)
-    place.wire.mode = rng.choice(list(wire.Mode))
+    """Delays or drops the data of the streams to a node."""
+    instance = rng.choice(fleet.places)
+    instance.wire.mode = rng.choice(list(wire.Mode))
     await hold(rng)
-    place.wire.mode = wire.Mode.PASS
+    instance.wire.mode = wire.Mode.PASS
 
 
 async def reset_wire(fleet: world.World, rng: random.Random) -> None:
@@ -93,41 +93,45 @@
 
 
 async def spoil_store(fleet: world.World, rng: random.Random) -> None:
-    """Has the store misbehave."""
+    """Injects a random fault into the store."""
     fleet.store.fault = rng.choice(list(key_value.Fault))
     await hold(rng)
     fleet.store.fault = key_value.Fault.NONE
 
 
 async def spoil_target(fleet: world.World, rng: random.Random) -> None:
-    """Has a target fail part of what it gets."""
+    """Makes a target fail, shed or delay part of its requests."""
     target = rng.choice(fleet.places).target
-    sound = target.script
+    original = target.script
     kind = rng.choice(("cut", "shed", "twice", "silent", "slow"))
 
     def script(seen: http_target.Seen) -> bytes | None:
         if rng.random() < 0.6:
-            return sound(seen)
-        whole = sound(seen) or b""
-        answers = {"cut": whole[:-9], "twice": whole * 2, "silent": None}
-        return answers.get(kind, whole)
-
-    target.sheds = 0.5 if kind == "shed" else 0.0
+            return original(seen)
+        complete = original(seen) or b""
+        answers = {
+            "cut": complete[:-9],
+            "twice": complete * 2,
+            "silent": None,
+        }
+        return answers.get(kind, complete)
+
+    target.shed_ratio = 0.5 if kind == "shed" else 0.0
     target.work_seconds = 0.4 if kind == "slow" else 0.02
     target.script = script
     await hold(rng)
-    target.script, target.sheds, target.work_seconds = sound, 0.0, 0.02
+    target.script, target.shed_ratio, target.work_seconds = original, 0.0, 0.02
 
 
 async def replace(fleet: world.World, rng: random.Random) -> None:
-    """Has a target drain and another one start in its place."""
-    place = rng.choice(fleet.places)
-    if place.phase == "ready":
-        await fleet.replace_target(place)
+    """Drains a target and starts a successor."""
+    instance = rng.choice(fleet.places)
+    if instance.phase == "ready":
+        await fleet.replace_target(instance)
 
 
 async def change(fleet: world.World, rng: random.Random) -> None:
-    """Changes the configuration; every second time a key goes."""
+    """Changes the configuration; withdraws a key with probability 0.5."""
     if rng.random() < 0.5:
         fleet.withdraw()
     else:
@@ -141,27 +145,37 @@
 
 
 async def series(
-    fleet: Played,
-    faults: Sequence[Callable[[Played, random.Random], Awaitable[None]]],
+    fleet: AnyWorld,
+    faults: Sequence[Callable[[AnyWorld, random.Random], Awaitable[None]]],
     rng: random.Random,
     seconds: float,
-    told: list[str],
+    injected: list[str],
 ) -> None:
-    """Plays faults one after the other; several series overlap."""
+    """Injects random faults one after another.
+
+    Several series run concurrently, so faults overlap.
+
+    Args:
+      fleet: World that the faults act on.
+      faults: Faults to choose from.
+      rng: Chooses the faults and their pauses.
+      seconds: Time after which no further fault begins.
+      injected: Receives the name of each fault.
+    """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while loop.time() < end:
         fault = rng.choice(faults)
-        told.append(fault.__name__)
+        injected.append(fault.__name__)
         await fault(fleet, rng)
         await asyncio.sleep(rng.uniform(0.1, 1.0))
 
 
 async def play(seed: int, seconds: float, folder: pathlib.Path) -> Result:
-    """Plays one run."""
+    """Runs load and faults with one seed, then checks the promises."""
     rng = random.Random(seed)
     fleet = world.World(folder, random.Random(seed + 1))
-    told: list[str] = []
+    injected: list[str] = []
     try:
         await fleet.start(NODES)
         await asyncio.sleep(START_SECONDS)
@@ -173,30 +187,30 @@
                     FAULTS,
                     random.Random(rng.random()),
                     seconds - 1,
-                    told,
+                    injected,
                 )
                 for _ in range(2)
             )
         )
         await load
-        await asyncio.sleep(CALM_SECONDS)
+        await asyncio.sleep(RECOVERY_SECONDS)
         after = await fleet.load(PER_SECOND, 2.0)
     finally:
         await fleet.stop()
     valid = [sent for sent in after if sent.key in fleet.keys]
-    everything = list(fleet.record.sent.values())
+    all_sent = list(fleet.record.sent.values())
     return Result(
         seed,
-        len(everything),
-        share_served(everything),
+        len(all_sent),
+        share_served(all_sent),
         share_served(valid),
         list(promises.broken(fleet.record)),
-        told,
+        injected,
     )
 
 
 def regression_seeds() -> list[int]:
-    """Returns the seeds that failed once."""
+    """Returns the seeds that have failed in earlier runs."""
     lines = REGRESSIONS.read_text().splitlines()
     return [
         int(line.split()[0])
@@ -206,14 +220,20 @@
 
 
 def share_served(sent: list[promises.Sent]) -> float:
-    """Returns the part of requests that got a 2xx."""
+    """Returns the share of requests that were answered with a 2xx status."""
     return sum(200 <= item.status < 300 for item in sent) / max(1, len(sent))
 
 
 def run(
     seed: int, seconds: float, folder: pathlib.Path | None = None
 ) -> Result:
-    """Plays one run in a loop of its own."""
+    """Runs one seed in a new event loop.
+
+    Args:
+      seed: Seed of the run.
+      seconds: Duration of the load with faults.
+      folder: Keeps settings and logs; a temporary folder if None.
+    """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(play(seed, seconds, folder))
--- a/bench/soak/wire.py
+++ b/bench/soak/wire.py
@@ -1,4 +1,4 @@
-"""A loopback proxy before a node's peer port, whose connections misbehave."""
+"""Loopback proxy that injects faults into connections to a node's peer port."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 
 
 class Mode(enum.Enum):
-    """What happens to bytes."""
+    """What happens to the forwarded data.
+
+    Attributes:
+      PASS: Forwarded unchanged.
+      DELAY: Each read is forwarded after `DELAY_SECONDS`.
+      CUT_IN: Data towards the node is dropped.
+      CUT_OUT: Data from the node is dropped.
+      SILENT: Data of both directions is dropped.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -25,7 +33,7 @@
     """Forwards connections to one port.
 
     Attributes:
-      mode: What happens to bytes; those in flight included.
+      mode: Fault applied to all connections, also to established ones.
     """
 
     def __init__(self, port: int) -> None:
@@ -35,7 +43,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, port: int) -> None:
-        """Listens."""
+        """Listens on a loopback port."""
         self.server = await asyncio.start_server(
             self.forward, "127.0.0.1", port
         )
@@ -43,7 +51,7 @@
     async def forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forwards one connection, both ways."""
+        """Forwards one connection in both directions."""
         try:
             far_reader, far_writer = await asyncio.open_connection(
                 "127.0.0.1", self.port
@@ -56,7 +64,7 @@
             asyncio.create_task(self.pump(reader, far_writer, Mode.CUT_IN)),
             asyncio.create_task(self.pump(far_reader, writer, Mode.CUT_OUT)),
         ]
-        # The end of a run cancels what still stands.
+        # The end of a run cancels forwarding that is still in progress.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
         for side in (writer, far_writer):
@@ -69,7 +77,7 @@
         writer: asyncio.StreamWriter,
         cut: Mode,
     ) -> None:
-        """Forwards one way until its end."""
+        """Forwards one direction until its end of stream."""
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 if self.mode is Mode.DELAY:
@@ -80,12 +88,12 @@
                 await writer.drain()
 
     def reset(self) -> None:
-        """Resets the connections that stand."""
+        """Resets all established connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """Stops listening and resets."""
+        """Stops listening and resets all connections."""
         if self.server is not None:
             self.server.close()
         self.reset()
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -1,4 +1,4 @@
-"""Real nodes as processes; targets, store and callers in this one."""
+"""Fleet of node processes; targets, store and callers run in this process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 STARTER = pathlib.Path(__file__).parents[2] / "deploy" / "node.py"
 SERVICE = "grades"
 SITE = "shop.example"
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 ANSWER_SECONDS_MAX = 6.0
 ROUTE_COLUMNS = [
     "name", "host", "prefix", "kind", "timeout-s", "target-latency-s",
@@ -33,8 +33,22 @@
 
 
 @dataclasses.dataclass
-class Place:
-    """A node, the wire before it and the target beside it."""
+class Instance:
+    """A node, the proxy in front of its peer port, and its target.
+
+    Attributes:
+      name: Instance name of the node.
+      settings: Settings file of the node.
+      ports: Callers, peers, readiness, reports, target, advertised peers.
+      wire: Proxy between the advertised port and the peer port.
+      target: Current target.
+      process: Current process of the node.
+      server: Listening socket of the target.
+      phase: State that the target reports.
+      restarts: Number of restarts in progress.
+      sequence: Sequence number of the target's last report.
+      born: Incarnation of the target, counted from 1.
+    """
 
     name: str
     settings: pathlib.Path
@@ -53,16 +67,16 @@
     """A fleet on loopback.
 
     Attributes:
-      record: What callers and targets saw.
-      places: The nodes.
-      keys: Keys in force.
+      record: What callers and targets observed.
+      places: Nodes with their targets.
+      keys: API keys that are valid in the current configuration.
     """
 
     def __init__(self, folder: pathlib.Path, rng: random.Random) -> None:
         self.folder = folder
         self.rng = rng
         self.record = promises.Record()
-        self.places: list[Place] = []
+        self.places: list[Instance] = []
         self.store = key_value.KeyValueStandIn(time.monotonic)
         self.store_port = 0
         self.version = 0
@@ -71,11 +85,11 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, count: int, *, beating: int = 0) -> None:
-        """Starts store, nodes and targets.
+        """Starts the store, the nodes and the targets.
 
         Args:
-          count: Nodes.
-          beating: The first of them whose target reports itself.
+          count: Number of nodes.
+          beating: Index of the first node whose target sends heartbeats.
         """
         loop = asyncio.get_running_loop()
         (self.store_port,) = fleet.free_ports(1)
@@ -83,21 +97,21 @@
         self.configure()
         for number in range(count):
             await self.add(number)
-        for place in self.places:
-            self.launch(place)
-            self.keep(self.supervise(place))
-        for place in self.places[beating:]:
-            self.keep(self.beat(place))
-
-    def keep(self, work: object) -> None:
-        """Runs work until the end."""
+        for instance in self.places:
+            self.launch(instance)
+            self.run_in_background(self.supervise(instance))
+        for instance in self.places[beating:]:
+            self.run_in_background(self.send_heartbeats(instance))
+
+    def run_in_background(self, work: object) -> None:
+        """Runs a coroutine in the background until `stop`."""
         assert asyncio.iscoroutine(work)
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def configure(self) -> None:
-        """Writes a configuration, as the operator does."""
+        """Writes a new version of the configuration to the store."""
         self.version += self.rng.randint(1, 4)
         rows = [
             [kind, SITE, f"/{kind}/", promise, 3, 1, 1, 2, False, SERVICE]
@@ -118,14 +132,14 @@
         self.store.operate(names.CONFIG_KEY, json.dumps(document).encode())
 
     def withdraw(self) -> None:
-        """Takes the oldest key away and gives a new one."""
-        gone = self.keys.pop(0)
+        """Replaces the oldest key by a new one in the configuration."""
+        oldest = self.keys.pop(0)
         self.keys.append(f"key-{next(self.numbers) + 10}")
         self.configure()
-        self.record.withdrawn[gone] = time.monotonic()
+        self.record.withdrawn[oldest] = time.monotonic()
 
     async def add(self, number: int) -> None:
-        """Prepares a node, its wire and its target."""
+        """Prepares a node with its proxy and its target."""
         ports = fleet.free_ports(6)
         name = f"n{number}"
         settings = self.folder / f"{name}.json"
@@ -148,24 +162,24 @@
                 }
             )
         )
-        place = Place(
+        instance = Instance(
             name,
             settings,
             ports,
             wire.FaultyWire(ports[1]),
             http_target.HttpTarget(target_id=f"t{number}-1"),
         )
-        await place.wire.start(ports[5])
+        await instance.wire.start(ports[5])
         loop = asyncio.get_running_loop()
-        place.server = await loop.create_server(
-            lambda: place.target.accept(), HOST, ports[4]
+        instance.server = await loop.create_server(
+            lambda: instance.target.accept(), HOST, ports[4]
         )
-        self.watch(place)
-        self.places.append(place)
+        self.record_runs(instance)
+        self.places.append(instance)
 
-    def watch(self, place: Place) -> None:
-        """Has the runs of a place's present target recorded."""
-        target = place.target
+    def record_runs(self, instance: Instance) -> None:
+        """Records the runs of a node's current target."""
+        target = instance.target
 
         def answer(seen: http_target.Seen) -> bytes | None:
             body = promises.answer_to(seen.request_id)
@@ -187,86 +201,88 @@
         target.on_run = on_run
         target.work_seconds = 0.02
 
-    def launch(self, place: Place) -> None:
-        """Starts a node's process."""
-        output = (self.folder / f"{place.name}.log").open("ab")
-        place.process = subprocess.Popen(
+    def launch(self, instance: Instance) -> None:
+        """Starts the process of a node."""
+        output = (self.folder / f"{instance.name}.log").open("ab")
+        instance.process = subprocess.Popen(
             [sys.executable, str(STARTER)],
             stdout=output,
             stderr=output,
-            env={**os.environ, "CURRANTCART_BOOT": str(place.settings)},
+            env={**os.environ, "CURRANTCART_BOOT": str(instance.settings)},
         )
         output.close()
 
-    def send_signal(self, place: Place, number: signal.Signals) -> None:
-        """Signals a node's process, by its id."""
-        if place.process is not None and place.process.poll() is None:
-            place.process.send_signal(number)
+    def send_signal(self, instance: Instance, number: signal.Signals) -> None:
+        """Sends a signal to a node's process if it still runs."""
+        if instance.process is not None and instance.process.poll() is None:
+            instance.process.send_signal(number)
 
-    async def restart(self, place: Place, number: signal.Signals) -> None:
-        """Ends a node's process and starts it again."""
-        place.restarts += 1
+    async def restart(self, instance: Instance, number: signal.Signals) -> None:
+        """Ends a node's process with a signal and restarts it."""
+        instance.restarts += 1
         await processes.replace(
-            lambda: place.process, lambda: self.launch(place), number
+            lambda: instance.process, lambda: self.launch(instance), number
         )
-        place.restarts -= 1
+        instance.restarts -= 1
 
-    async def supervise(self, place: Place) -> None:
-        """Starts a process again that has ended of its own, and notes it."""
+    async def supervise(self, instance: Instance) -> None:
+        """Records and restarts a process that exited unexpectedly."""
         while True:
             await asyncio.sleep(0.1)
-            process = place.process
-            if process is None or place.restarts or process.poll() is None:
+            process = instance.process
+            if process is None or instance.restarts or process.poll() is None:
                 continue
-            self.record.ended.append(f"{place.name}: {process.returncode}")
-            self.launch(place)
+            self.record.ended.append(f"{instance.name}: {process.returncode}")
+            self.launch(instance)
 
-    async def beat(self, place: Place) -> None:
-        """Sends the heartbeats of a place's targets."""
+    async def send_heartbeats(self, instance: Instance) -> None:
+        """Sends the heartbeats of a node's target while it is ready."""
         while True:
-            if place.phase == "ready":
-                await self.report(place, "ready")
-            await asyncio.sleep(BEAT_SECONDS)
+            if instance.phase == "ready":
+                await self.report(instance, "ready")
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def report(self, place: Place, state: str) -> bool:
-        """Sends one report; returns whether it was acknowledged."""
-        place.sequence += 1
+    async def report(self, instance: Instance, state: str) -> bool:
+        """Sends one report and returns whether it was acknowledged."""
+        instance.sequence += 1
         body = json.dumps(
             {
                 "service": SERVICE,
-                "address": f"{HOST}:{place.ports[4]}",
+                "address": f"{HOST}:{instance.ports[4]}",
                 "slots": 10,
                 "state": state,
-                "sequence": place.sequence,
-                "born": place.born,
+                "sequence": instance.sequence,
+                "born": instance.born,
             }
         ).encode()
-        call = f"{names.HEARTBEAT_CALL}&of={place.target.target_id}"
+        call = f"{names.HEARTBEAT_CALL}&of={instance.target.target_id}"
         head = f"POST {names.REPORT_PATH}?call={call} HTTP/1.1\r\nHost: x\r\n"
-        status, _, _ = await self.exchange(place.ports[3], head, body, 1.0)
+        status, _, _ = await self.exchange(instance.ports[3], head, body, 1.0)
         return status == 200
 
-    async def replace_target(self, place: Place) -> None:
-        """Has a target drain, and another one start in its place."""
-        place.phase = "draining"
-        old = place.target
-        if await self.report(place, "draining"):
-            self.record.left[old.target_id] = time.monotonic()
+    async def replace_target(self, instance: Instance) -> None:
+        """Drains a target, aborts its connections and starts a successor."""
+        instance.phase = "draining"
+        previous = instance.target
+        if await self.report(instance, "draining"):
+            self.record.left[previous.target_id] = time.monotonic()
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
-        for side in old.connections:
-            if side.transport is not None:
-                side.transport.abort()
-        place.born += 1
-        place.sequence = 0
-        name = old.target_id.partition("-")[0]
-        place.target = http_target.HttpTarget(target_id=f"{name}-{place.born}")
-        self.watch(place)
-        place.phase = "ready"
+        for connection in previous.connections:
+            if connection.transport is not None:
+                connection.transport.abort()
+        instance.born += 1
+        instance.sequence = 0
+        name = previous.target_id.partition("-")[0]
+        instance.target = http_target.HttpTarget(
+            target_id=f"{name}-{instance.born}"
+        )
+        self.record_runs(instance)
+        instance.phase = "ready"
 
     # Callers.
 
     async def call(self) -> promises.Sent:
-        """Sends one request and records what came of it."""
+        """Sends one request and records its answer."""
         pay = self.rng.random() < 0.4
         body = b"x" * self.rng.choice((3, 3, 3, 90_000)) if pay else b""
         sent = promises.Sent(
@@ -277,7 +293,7 @@
             body,
         )
         self.record.sent[sent.request_id] = sent
-        place = self.rng.choice(self.places)
+        instance = self.rng.choice(self.places)
         method, path = ("POST", "/pay/1") if pay else ("GET", "/read/1")
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {SITE}\r\n"
@@ -285,17 +301,18 @@
             f"Currantcart-Deadline-Ms: 3000\r\nApi-Key: {sent.key}\r\n"
         )
         sent.status, sent.answered_id, sent.answer = await self.exchange(
-            place.ports[0], head, body, ANSWER_SECONDS_MAX
+            instance.ports[0], head, body, ANSWER_SECONDS_MAX
         )
         return sent
 
     async def exchange(
         self, port: int, head: str, body: bytes, seconds: float
     ) -> tuple[int, str, bytes]:
-        """Makes one exchange on a connection of its own.
+        """Sends one request on a new connection and reads the answer.
 
         Returns:
-          Status, id and body of the answer; zero without a whole one.
+          Status, request id and body of the answer; 0 and empty values if no
+          complete answer was received.
         """
         writer: asyncio.StreamWriter | None = None
         try:
@@ -312,8 +329,8 @@
                 size = int(fields.get("content-length", "0"))
                 answer = await reader.readexactly(size)
                 status = int(lines.split(" ", 2)[1])
-                shown = fields.get("currantcart-request-id", "")
-                return status, shown, answer
+                answered_id = fields.get("currantcart-request-id", "")
+                return status, answered_id, answer
         except (OSError, TimeoutError, EOFError, ValueError):
             return 0, "", b""
         finally:
@@ -323,7 +340,7 @@
     async def load(
         self, per_second: float, seconds: float
     ) -> list[promises.Sent]:
-        """Sends requests at a steady pace; returns them once all ended."""
+        """Sends requests at a mean rate; returns them once all have ended."""
         calls: list[asyncio.Task[promises.Sent]] = []
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -332,15 +349,15 @@
         return list(await asyncio.gather(*calls))
 
     async def stop(self) -> None:
-        """Ends the processes that this world started."""
+        """Ends the background tasks and the processes of the nodes."""
         for task in list(self.tasks):
             task.cancel()
-        for place in self.places:
-            self.send_signal(place, signal.SIGCONT)
-            self.send_signal(place, signal.SIGKILL)
-            place.wire.close()
-            if place.server is not None:
-                place.server.close()
-            if place.process is not None:
+        for instance in self.places:
+            self.send_signal(instance, signal.SIGCONT)
+            self.send_signal(instance, signal.SIGKILL)
+            instance.wire.close()
+            if instance.server is not None:
+                instance.server.close()
+            if instance.process is not None:
                 with contextlib.suppress(subprocess.TimeoutExpired):
-                    place.process.wait(timeout=5)
+                    instance.process.wait(timeout=5)
--- a/bench/standins/http_target.py
+++ b/bench/standins/http_target.py
@@ -56,7 +56,7 @@
     Attributes:
       script: Returns the bytes of an answer, or None for silence.
       work_seconds: How long a request takes.
-      sheds: Part of the requests that it says it did not execute.
+      shed_ratio: Part of the requests that it says it did not execute.
       on_run: Told of each request that it runs.
       seen: Requests that it ran or refused.
       running: Requests that run now.
@@ -66,7 +66,7 @@
     target_id: str = "t1"
     script: Script = sealed
     work_seconds: float = 0.01
-    sheds: float = 0.0
+    shed_ratio: float = 0.0
     on_run: Callable[[Seen], None] | None = None
     cut_after: bool = False
     seen: list[Seen] = dataclasses.field(default_factory=list)
@@ -123,7 +123,7 @@
 
     async def work(self, seen: Seen) -> None:
         target = self.target
-        if target.sheds and random.random() < target.sheds:
+        if target.shed_ratio and random.random() < target.shed_ratio:
             if self.transport is not None:
                 self.transport.write(not_executed(seen))
             return
--- a/tests/soak/test_own.py
+++ b/tests/soak/test_own.py
@@ -1,4 +1,4 @@
-"""The soak on the product's own interface: its checks, and a short run."""
+"""Tests the checks of the soak on the own interface, and a short run."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     ],
     ids=["once", "charge", "refused", "refused always", "crossed"],
 )
-def test_a_promise_that_is_broken_is_told(
+def test_broken_promise_is_reported(
     seen: load.Outcome, ran: list[checkers.Ran]
 ) -> None:
     assert own.broken([seen], ran)
@@ -54,7 +54,7 @@
     ],
     ids=["run at last", "charge", "refused", "browse"],
 )
-def test_what_is_allowed_is_not_told(
+def test_allowed_outcome_is_not_reported(
     seen: load.Outcome, ran: list[checkers.Ran]
 ) -> None:
     assert own.broken([seen], ran) == []
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise of the soak is shown to be found broken."""
+"""Tests that the soak finds a violation of each promise."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from bench.soak import promises
 
 
-def sound() -> promises.Record:
-    """Returns a record in which all is well."""
+def valid_record() -> promises.Record:
+    """Returns a record in which no promise is broken."""
     record = promises.Record()
     record.sent["r1"] = promises.Sent(
         "r1", "k", False, 10.0, b"fee", 200, promises.answer_to("r1"), "r1"
@@ -20,43 +20,43 @@
 
 
 def changed_run(**values: object) -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.ran[0] = dataclasses.replace(record.ran[0], **values)  # type: ignore[arg-type]
     return record
 
 
 def changed_answer(**values: object) -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.sent["r1"] = dataclasses.replace(record.sent["r1"], **values)  # type: ignore[arg-type]
     return record
 
 
 def ran_twice() -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.ran.append(record.ran[0])
     return record
 
 
 def withdrawn() -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.withdrawn["k"] = 10.0 - promises.REVOKE_SECONDS - 0.1
     return record
 
 
 def left() -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.left["t1"] = 10.1 - promises.DRAIN_SECONDS - 0.1
     return record
 
 
 def ended() -> promises.Record:
-    record = sound()
+    record = valid_record()
     record.ended.append("n1: -1")
     return record
 
 
-def test_a_sound_record_breaks_nothing() -> None:
-    assert not list(promises.broken(sound()))
+def test_valid_record_has_no_violation() -> None:
+    assert not list(promises.broken(valid_record()))
 
 
 @pytest.mark.parametrize(
@@ -76,5 +76,5 @@
         (ended(), "ENDED"),
     ],
 )
-def test_a_broken_promise_is_found(record: promises.Record, name: str) -> None:
+def test_broken_promise_is_found(record: promises.Record, name: str) -> None:
     assert any(line.startswith(name) for line in promises.broken(record))
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -1,4 +1,4 @@
-"""A short seeded run with real processes; it asks for safety only."""
+"""Short seeded runs with real processes; only safety is checked."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_world.py
+++ b/tests/soak/test_world.py
@@ -1,4 +1,4 @@
-"""The fleet that the soak plays with."""
+"""Tests the fleet of the soak."""
 
 from __future__ import annotations
 
@@ -32,10 +32,13 @@
 async def test_a_node_that_two_series_restart_at_once_is_started_once(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Started twice, the second process finds the ports taken and ends."""
+    """Two fault series may restart the same node at the same time.
+
+    If each started a process, the second would find the ports in use and exit.
+    """
     fleet = world.World(tmp_path, random.Random(1))
     first = Process()
-    place = world.Place(
+    instance = world.Instance(
         "n0",
         tmp_path / "n0.json",
         [0] * 6,
@@ -45,19 +48,19 @@
     )
     launched: list[Process] = []
 
-    def launch(started: world.Place) -> None:
+    def launch(started: world.Instance) -> None:
         launched.append(Process())
         started.process = cast("subprocess.Popen[bytes]", launched[-1])
 
     monkeypatch.setattr(fleet, "launch", launch)
-    both = [
-        asyncio.create_task(fleet.restart(place, number))
+    restarts = [
+        asyncio.create_task(fleet.restart(instance, number))
         for number in (signal.SIGTERM, signal.SIGKILL)
     ]
     await asyncio.sleep(0.2)
     assert first.signals == [signal.SIGTERM, signal.SIGKILL]
-    assert place.restarts == 2
+    assert instance.restarts == 2
     first.ended = True
-    await asyncio.gather(*both)
+    await asyncio.gather(*restarts)
     assert len(launched) == 1
-    assert place.restarts == 0
+    assert instance.restarts == 0
