--- a/bench/standins/__init__.py
+++ b/bench/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform's store and for targets."""
+"""Stand-ins for the platform's store and for targets."""
--- a/bench/standins/http_target.py
+++ b/bench/standins/http_target.py
@@ -1,4 +1,4 @@
-"""A target that speaks plain HTTP and misbehaves on request."""
+"""HTTP target whose faults can be set while it runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass
 class Seen:
-    """A request as the target saw it."""
+    """A request as received by the target."""
 
     method: str
     path: str
@@ -26,7 +26,7 @@
 
 
 def sealed(seen: Seen, *, status: int = 200, body: bytes = b"done") -> bytes:
-    """Returns the answer that a sound target gives."""
+    """Returns a complete answer, with the seal that the node expects."""
     return (
         f"HTTP/1.1 {status} OK\r\n"
         f"Currantcart-Request-Id: {seen.request_id}\r\n"
@@ -37,7 +37,7 @@
 
 
 def not_executed(seen: Seen, *, status: int = 503) -> bytes:
-    """Returns the answer of a target that did not run the request."""
+    """Returns an answer that says that the request was not executed."""
     return (
         f"HTTP/1.1 {status} No\r\n"
         f"Currantcart-Request-Id: {seen.request_id}\r\n"
@@ -51,16 +51,20 @@
 
 @dataclasses.dataclass
 class HttpTarget:
-    """One target.
+    """A target with its faults and counts.
 
     Attributes:
-      script: Returns the bytes of an answer, or None for silence.
-      work_seconds: How long a request takes.
-      shed_ratio: Part of the requests that it says it did not execute.
-      on_run: Told of each request that it runs.
-      seen: Requests that it ran or refused.
-      running: Requests that run now.
-      dropped: Requests whose connection ended before their answer.
+      target_id: Id that requests are checked against.
+      script: Returns the bytes of an answer, or None to send no answer.
+      work_seconds: Processing time of a request.
+      shed_ratio: Share of requests that are answered as not executed.
+      on_run: Called with each request that runs.
+      cut_after: Whether the connection is closed after each answer.
+      seen: Requests received, including those not executed.
+      running: Number of requests that are running.
+      most_running: Highest number of requests that ran at once.
+      dropped: Number of requests whose connection ended before their answer.
+      connections: All connections accepted so far.
     """
 
     target_id: str = "t1"
@@ -73,16 +77,18 @@
     running: int = 0
     most_running: int = 0
     dropped: int = 0
-    connections: list[TargetSide] = dataclasses.field(default_factory=list)
+    connections: list[TargetConnection] = dataclasses.field(
+        default_factory=list
+    )
 
-    def accept(self) -> TargetSide:
-        side = TargetSide(self)
-        self.connections.append(side)
-        return side
+    def accept(self) -> TargetConnection:
+        connection = TargetConnection(self)
+        self.connections.append(connection)
+        return connection
 
 
-class TargetSide(asyncio.Protocol):
-    """One connection of the target."""
+class TargetConnection(asyncio.Protocol):
+    """One connection to the target."""
 
     def __init__(self, target: HttpTarget) -> None:
         self.target = target
--- a/bench/standins/key_value.py
+++ b/bench/standins/key_value.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, with the faults that its pages name."""
+"""Stand-in for the platform's store, with its documented faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,17 @@
 
 
 class Fault(enum.Enum):
-    """What the store does to a call."""
+    """Fault that the store applies to calls.
+
+    Attributes:
+      NONE: Calls are answered.
+      BUSY: Calls are answered with status 503.
+      MANY: Calls are answered with status 429.
+      RESET: The connection is aborted.
+      SILENT: Calls are neither carried out nor answered.
+      LOST: Writes take effect but are not answered.
+      LATE: Writes take effect after `LATE_SECONDS` and are not answered.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -32,8 +42,15 @@
 
 
 @dataclasses.dataclass
-class Held:
-    """An item that is held."""
+class Item:
+    """A stored item.
+
+    Attributes:
+      value: Value in Base64.
+      revision: Revision of the last write.
+      created_at: Revision of the write that created it.
+      lease: Lease that the item ends with; 0 without one.
+    """
 
     value: str
     revision: int
@@ -42,21 +59,23 @@
 
 
 class KeyValueStandIn:
-    """The store.
+    """State of the store.
 
     Attributes:
-      items: What it holds.
-      leases: When each lease ends, in seconds of the loop.
-      fault: What happens to calls; `LOST` and `LATE` to writes only.
-      delay_seconds: Time for an answer.
-      page_items: Most items of a page.
-      compacted: Revision up to which the history is gone.
-      calls: Method and path of each call.
+      now: Returns the time in seconds.
+      items: Stored items by key.
+      leases: End and time to live of each lease, in seconds.
+      fault: Fault applied to calls; `LOST` and `LATE` apply to writes only.
+      delay_seconds: Delay before each answer.
+      page_items: Maximum number of items in a page.
+      revision: Revision of the last change.
+      compacted: Watches from a revision below this one are answered with 410.
+      calls: Method and path of each call received.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.items: dict[str, Held] = {}
+        self.items: dict[str, Item] = {}
         self.leases: dict[int, tuple[float, float]] = {}
         self.fault = Fault.NONE
         self.delay_seconds = 0.004
@@ -66,34 +85,38 @@
         self.lease_numbers = itertools.count(100)
         self.calls: list[str] = []
 
-    def accept(self) -> StoreSide:
-        """Returns the protocol of a connection."""
-        return StoreSide(self)
+    def accept(self) -> StoreConnection:
+        """Returns the protocol of a new connection."""
+        return StoreConnection(self)
 
     def operate(self, key: str, value: bytes) -> None:
-        """Writes as the operator does."""
+        """Writes an item without a lease, as an operator does."""
         self.write(key, base64.b64encode(value).decode(), 0)
 
     def write(self, key: str, value: str, lease: int) -> None:
-        """Writes an item."""
+        """Writes an item at the next revision."""
         self.revision += 1
-        before = self.items.get(key)
-        created = before.created_at if before else self.revision
-        self.items[key] = Held(value, self.revision, created, lease)
+        previous = self.items.get(key)
+        created = previous.created_at if previous else self.revision
+        self.items[key] = Item(value, self.revision, created, lease)
 
     def expire(self) -> None:
-        """Ends the leases whose time is over, with their keys."""
+        """Removes expired leases and the items attached to them."""
         now = self.now()
         ended = {n for n, (end, _) in self.leases.items() if end <= now}
         for number in ended:
             del self.leases[number]
-        for key, held in list(self.items.items()):
-            if held.lease in ended:
+        for key, item in list(self.items.items()):
+            if item.lease in ended:
                 del self.items[key]
                 self.revision += 1
 
     def handle(self, method: str, url: str, body: bytes) -> tuple[int, Any]:
-        """Carries out one call."""
+        """Carries out one call.
+
+        Returns:
+          Status and JSON value of the answer.
+        """
         self.expire()
         parts = urllib.parse.urlsplit(url)
         query = dict(urllib.parse.parse_qsl(parts.query))
@@ -114,7 +137,7 @@
         return self.lease_call(action, int(number_text))
 
     def lease_call(self, action: str, number: int) -> tuple[int, Any]:
-        """Renews or ends a lease."""
+        """Renews a lease, or ends it with its items."""
         if number not in self.leases:
             return 404, {"error": "no such lease"}
         ttl = self.leases[number][1]
@@ -125,63 +148,63 @@
             self.expire()
         return 200, {"ttl-s": ttl}
 
-    def told(self, key: str) -> dict[str, Any]:
-        """Returns an item as it is told."""
-        held = self.items[key]
+    def encoded(self, key: str) -> dict[str, Any]:
+        """Returns the JSON value of an item."""
+        item = self.items[key]
         return {
             "key": key,
-            "value": held.value,
-            "revision": held.revision,
-            "created-at": held.created_at,
-            "lease": held.lease,
+            "value": item.value,
+            "revision": item.revision,
+            "created-at": item.created_at,
+            "lease": item.lease,
         }
 
     def key(self, key: str) -> tuple[int, Any]:
-        """Reads a key."""
+        """Reads one item."""
         if key not in self.items:
             return 404, {"error": "none", "as-of": self.revision}
-        return 200, {**self.told(key), "as-of": self.revision}
+        return 200, {**self.encoded(key), "as-of": self.revision}
 
     def range(self, prefix: str, after: str) -> tuple[int, Any]:
-        """Reads a page of a prefix."""
+        """Reads one page of the items with a prefix."""
         keys = sorted(
             key for key in self.items if key.startswith(prefix) and key > after
         )
         page = keys[: self.page_items]
         return 200, {
-            "items": [self.told(key) for key in page],
+            "items": [self.encoded(key) for key in page],
             "has-more": len(keys) > len(page),
             "as-of": self.revision,
         }
 
-    def present(self, rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Returns the items of a condition as they are."""
+    def current_items(self, rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Returns the current items of a transaction's conditions."""
         return [
-            self.told(row["key"])
+            self.encoded(row["key"])
             if row["key"] in self.items
             else {"key": row["key"], "revision": 0}
             for row in rows
         ]
 
     def changes(self, prefix: str, after: int) -> tuple[int, Any] | None:
-        """Returns what a watch is told; None while there is nothing."""
+        """Returns the answer to a watch, or None if nothing has changed."""
         if after < self.compacted:
             return 410, {"error": "history is gone"}
         events = [
-            self.told(key)
-            for key, held in self.items.items()
-            if key.startswith(prefix) and held.revision > after
+            self.encoded(key)
+            for key, item in self.items.items()
+            if key.startswith(prefix) and item.revision > after
         ]
         if not events:
             return None
         return 200, {"events": events, "as-of": self.revision}
 
     def transact(self, values: dict[str, Any]) -> tuple[int, Any]:
-        """Carries out a transaction."""
+        """Writes all items of a transaction if its conditions hold."""
         for row in values["expect"]:
-            held = self.items.get(row["key"])
-            if (held.revision if held else 0) != row["revision"]:
-                return 412, {"items": self.present(values["expect"])}
+            item = self.items.get(row["key"])
+            if (item.revision if item else 0) != row["revision"]:
+                return 412, {"items": self.current_items(values["expect"])}
         for row in values["writes"]:
             if row.get("lease") and row["lease"] not in self.leases:
                 return 404, {"error": "no such lease"}
@@ -190,8 +213,8 @@
         return 200, {"revision": self.revision}
 
 
-class StoreSide(asyncio.Protocol):
-    """One connection of the store."""
+class StoreConnection(asyncio.Protocol):
+    """One connection to the store."""
 
     def __init__(self, store: KeyValueStandIn) -> None:
         self.store = store
@@ -201,32 +224,32 @@
         self.url, self.body = b"", b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drops the transport."""
+        """Discards the transport."""
         del exc
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrives."""
+        """Parses received data."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """Starts a call."""
+        """Discards the URL and the body of the previous call."""
         self.url, self.body = b"", b""
 
     def on_url(self, url: bytes) -> None:
-        """Takes the path."""
+        """Appends a part of the URL."""
         self.url += url
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Appends a part of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Answers a call after its delay, or does what the fault says."""
+        """Schedules the answer to a call after the delay of the store."""
         method = self.parser.get_method().decode()
         url, body = self.url.decode(), self.body
         self.store.calls.append(f"{method} {url}")
@@ -236,7 +259,7 @@
         )
 
     def answer(self, method: str, url: str, body: bytes) -> None:
-        """Answers one call."""
+        """Answers one call, or applies the fault in force."""
         fault = self.store.fault
         if fault in (Fault.LOST, Fault.LATE) and method == "GET":
             fault = Fault.NONE
@@ -262,13 +285,13 @@
             return
         status, values = self.store.handle(method, url, body)
         if fault is Fault.LOST:
-            # A connection on which an answer is lost returns nothing more.
+            # After a lost answer the connection sends nothing more.
             self.silent = True
             return
         self.reply(status, values)
 
     def watch(self, prefix: str, after: int, end: float) -> None:
-        """Answers a watch as soon as there is something to tell."""
+        """Answers a watch on the first change, or when its time is over."""
         found = self.store.changes(prefix, after)
         if found is None and self.store.now() < end:
             asyncio.get_running_loop().call_later(
@@ -280,7 +303,7 @@
         )
 
     def reply(self, status: int, values: Any) -> None:
-        """Writes an answer."""
+        """Sends an answer if the connection is still open."""
         if self.transport is None:
             return
         body = json.dumps(values).encode()
--- a/bench/standins/relay.py
+++ b/bench/standins/relay.py
@@ -1,4 +1,7 @@
-"""A bare asyncio byte relay that reads nothing: the floor of a hop."""
+"""Byte relay on bare asyncio: the lower bound for the cost of a hop.
+
+It forwards data without parsing it.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
     def __init__(self) -> None:
         self.other: Side | None = None
         self.transport: asyncio.Transport | None = None
-        self.early: list[bytes] = []
+        self.pending: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         if self.other is None or self.other.transport is None:
-            self.early.append(data)
+            self.pending.append(data)
         else:
             self.other.transport.write(data)
 
@@ -29,8 +32,8 @@
             self.other.transport.close()
 
 
-class Front(Side):
-    """The side that a caller connects to."""
+class CallerSide(Side):
+    """The caller's side; opens the connection to the target."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
@@ -42,20 +45,20 @@
         self.task = loop.create_task(self.connect(loop))
 
     async def connect(self, loop: asyncio.AbstractEventLoop) -> None:
-        _, back = await loop.create_connection(Side, *self.address)
-        back.other = self
-        self.other = back
-        for data in self.early:
-            assert back.transport is not None
-            back.transport.write(data)
+        _, target_side = await loop.create_connection(Side, *self.address)
+        target_side.other = self
+        self.other = target_side
+        for data in self.pending:
+            assert target_side.transport is not None
+            target_side.transport.write(data)
 
 
 async def serve(port: int, target: str) -> None:
-    """Runs the relay until it is ended."""
+    """Runs the relay until the process is ended."""
     host, _, target_port = target.rpartition(":")
     loop = asyncio.get_running_loop()
     await loop.create_server(
-        lambda: Front(host, int(target_port)), "127.0.0.1", port
+        lambda: CallerSide(host, int(target_port)), "127.0.0.1", port
     )
     await asyncio.Event().wait()
 
--- a/bench/standins/store.py
+++ b/bench/standins/store.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's store, with the faults that it can have.
+"""Stand-in for a Consul store, with faults that can be set.
 
 It speaks the part of Consul's key-value HTTP interface that the adapter uses.
-`PUT /fault` sets faults and `GET /counts` tells how many calls came.
+`PUT /fault` sets the faults and `GET /counts` returns the number of calls.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
     """Faults in force.
 
     Attributes:
-      down: Connections are cut without an answer.
-      slow_ms: Each call takes that much longer.
-      lose_answers: So many writes take effect and lose their answer.
-      lose_writes: So many writes are lost before they take effect.
+      down: Connections are aborted without an answer.
+      slow_ms: Delay added to each call.
+      lose_answers: Number of writes that take effect but are not answered.
+      lose_writes: Number of writes that are lost before they take effect.
       wake_watches: Watches return at once without a change.
     """
 
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class Stored:
-    """One stored value."""
+    """A stored value, the index of its last write, and its lease."""
 
     value: bytes
     index: int
@@ -48,14 +48,14 @@
 
 @dataclasses.dataclass
 class Lease:
-    """One lease."""
+    """A lease: its time to live, and when it expires in loop time."""
 
     ttl_ms: float
     expires: float
 
 
 class StoreStandIn:
-    """The store's state and its HTTP interface."""
+    """State of the store and its HTTP interface."""
 
     def __init__(self) -> None:
         self.index = 0
@@ -90,26 +90,26 @@
         async with self.changed:
             self.changed.notify_all()
 
-    def cut(self, request: web.Request) -> web.Response:
-        """Cuts the connection, as an outage does."""
+    def abort(self, request: web.Request) -> web.Response:
+        """Aborts the connection, as an outage does."""
         if request.transport is not None:
             request.transport.abort()
         return web.Response(status=500)
 
-    async def suffer(self) -> bool:
-        """Applies slowness, and tells whether the store is down."""
+    async def delay_and_check_down(self) -> bool:
+        """Applies the delay and returns whether the store is down."""
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1_000)
         return self.faults.down
 
     def expire_leases(self) -> None:
-        """Ends lapsed leases and deletes their keys."""
+        """Removes expired leases and the values attached to them."""
         now = asyncio.get_running_loop().time()
         for lease, state in list(self.leases.items()):
             if state.expires <= now:
-                self.drop_lease(lease)
+                self.remove_lease(lease)
 
-    def drop_lease(self, lease: str) -> None:
+    def remove_lease(self, lease: str) -> None:
         self.leases.pop(lease, None)
         for key, stored in list(self.values.items()):
             if stored.lease == lease:
@@ -120,13 +120,13 @@
         key = request.match_info["key"]
         after = request.query.get("index")
         self.counts["reads" if after is None else "watches"] += 1
-        if await self.suffer():
-            return self.cut(request)
+        if await self.delay_and_check_down():
+            return self.abort(request)
         if after is not None:
             wait_ms = int(request.query.get("wait", "1000ms")[:-2])
             await self.wait_change(key, int(after), min(wait_ms, WATCH_MS_MAX))
             if self.faults.down:
-                return self.cut(request)
+                return self.abort(request)
         self.expire_leases()
         stored = self.values.get(key)
         if stored is None:
@@ -143,7 +143,13 @@
         )
 
     async def wait_change(self, key: str, after: int, wait_ms: int) -> None:
-        """Blocks until the key has another index, or the time is over."""
+        """Waits until the index of a key changes, a time-out or a fault.
+
+        Args:
+          key: Key to watch.
+          after: Index that the caller knows.
+          wait_ms: Maximum time to wait.
+        """
 
         def is_due() -> bool:
             stored = self.values.get(key)
@@ -162,21 +168,25 @@
         key = request.match_info["key"]
         value = await request.read()
         self.counts["writes"] += 1
-        if await self.suffer():
-            return self.cut(request)
+        if await self.delay_and_check_down():
+            return self.abort(request)
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
-            return self.cut(request)
+            return self.abort(request)
         self.expire_leases()
         done = self.write(key, value, request)
         await self.notify()
         if done and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return self.cut(request)
+            return self.abort(request)
         return web.json_response(done)
 
     def write(self, key: str, value: bytes, request: web.Request) -> bool:
-        """Writes a value under its condition."""
+        """Writes a value if its `acquire` or `cas` condition holds.
+
+        Returns:
+          Whether the value was written.
+        """
         stored = self.values.get(key)
         lease = request.query.get("acquire", "")
         if lease:
@@ -194,20 +204,20 @@
         return True
 
     async def create_lease(self, request: web.Request) -> web.Response:
-        asked = json.loads(await request.read())
+        options = json.loads(await request.read())
         self.counts["writes"] += 1
-        if await self.suffer():
-            return self.cut(request)
+        if await self.delay_and_check_down():
+            return self.abort(request)
         lease = secrets.token_hex(8)
-        ttl_ms = float(asked["TTL"].removesuffix("ms"))
+        ttl_ms = float(options["TTL"].removesuffix("ms"))
         now = asyncio.get_running_loop().time()
         self.leases[lease] = Lease(ttl_ms, now + ttl_ms / 1_000)
         return web.json_response({"ID": lease})
 
     async def renew_lease(self, request: web.Request) -> web.Response:
         self.counts["writes"] += 1
-        if await self.suffer():
-            return self.cut(request)
+        if await self.delay_and_check_down():
+            return self.abort(request)
         self.expire_leases()
         state = self.leases.get(request.match_info["lease"])
         if state is None:
@@ -218,15 +228,15 @@
 
     async def end_lease(self, request: web.Request) -> web.Response:
         self.counts["writes"] += 1
-        if await self.suffer():
-            return self.cut(request)
-        self.drop_lease(request.match_info["lease"])
+        if await self.delay_and_check_down():
+            return self.abort(request)
+        self.remove_lease(request.match_info["lease"])
         await self.notify()
         return web.json_response(True)
 
 
 async def serve(port: int) -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is ended."""
     runner = web.AppRunner(StoreStandIn().application())
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
--- a/bench/standins/target.py
+++ b/bench/standins/target.py
@@ -1,9 +1,9 @@
-"""Stand-in for a target: slots, service time, calls of its own, a history.
+"""Stand-in for a target with slots, a service time, dependencies, a history.
 
-`PUT /_control` changes its behaviour while it runs and `GET /_history` tells
-what ran. Everything else is a call: it takes a slot, works, calls the services
-below through its node with the call context, and answers with the id that the
-caller sent, so that a crossed or cut answer shows.
+`PUT /_control` changes its behaviour while it runs and `GET /_history` returns
+the calls that ran. Every other request is a call: it occupies a slot, works,
+calls the dependencies through the node with the call context, and is answered
+with the request id, so that crossed and truncated answers are detected.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 
 @dataclasses.dataclass
 class Behaviour:
-    """How the target behaves.
+    """Behaviour of a target.
 
     Attributes:
-      service: Its service.
-      slots: Calls that it works on at once; others queue inside.
-      work_ms: Mean time of its own work.
-      slow: Factor on the time of its work.
-      calls: Paths of services that it calls for each call.
-      attempts: Attempts that it makes for each call of its own.
-      fail_ratio: Share of calls that it fails.
-      fail_status: Status of those.
-      answer_bytes: Size of its answers.
-      node: Address of its node for its own calls.
-      keep_history: Whether it remembers what ran.
+      service: Service of the target.
+      slots: Calls processed concurrently; further calls queue in the target.
+      work_ms: Mean service time without the calls to dependencies.
+      slow: Factor on the service time.
+      calls: Paths of dependencies that are called for each call.
+      attempts: Maximum attempts for each call to a dependency.
+      fail_ratio: Share of calls that fail.
+      fail_status: Status of the failed calls.
+      answer_bytes: Minimum size of an answer; shorter ones are padded.
+      node: Address of the node for calls to dependencies.
+      keep_history: Whether the calls that ran are recorded.
     """
 
     service: str
@@ -56,7 +56,7 @@
 
 
 class TargetStandIn:
-    """A running stand-in."""
+    """A running target."""
 
     def __init__(
         self, behaviour: Behaviour, loop: asyncio.AbstractEventLoop
@@ -83,7 +83,7 @@
         )
 
     async def handle(self, exchange: server.Exchange) -> None:
-        """Answers one request."""
+        """Answers a control request, a history request or a call."""
         try:
             body = await read_all(exchange)
             path = exchange.message.path
@@ -99,13 +99,13 @@
             exchange.abort()
 
     async def run_call(self, exchange: server.Exchange, body: bytes) -> None:
-        """Runs one call."""
-        given = exchange.message.headers
-        request_id = given.get(REQUEST_ID, "")
+        """Runs one call in a slot, with its calls to dependencies."""
+        request_headers = exchange.message.headers
+        request_id = request_headers.get(REQUEST_ID, "")
         entry = {
             "id": request_id,
-            "operation": given.get(headers.IDEMPOTENCY_KEY, ""),
-            "leaked": headers.AUTHORIZATION in given,
+            "operation": request_headers.get(headers.IDEMPOTENCY_KEY, ""),
+            "leaked": headers.AUTHORIZATION in request_headers,
             "bytes": len(body),
             "at": self.loop.time(),
             "done": False,
@@ -123,34 +123,45 @@
                 status = self.behaviour.fail_status
             for path in self.behaviour.calls:
                 if status == 200:
-                    status = await self.call_below(path, given, request_id)
+                    status = await self.call_dependency(
+                        path, request_headers, request_id
+                    )
         entry["done"] = status == 200
         answer = {"id": request_id, "service": self.behaviour.service}
         text = json.dumps(answer).encode().ljust(self.behaviour.answer_bytes)
         await respond(exchange, status, text)
 
-    async def call_below(
-        self, path: str, given: CIMultiDictProxy[str], request_id: str
+    async def call_dependency(
+        self, path: str, request_headers: CIMultiDictProxy[str], request_id: str
     ) -> int:
-        """Calls a service below through the node."""
+        """Calls a dependency through the node, with retries.
+
+        Returns:
+          200, or 502 if the last attempt ended with 502, or else 503.
+        """
         status = 503
         for _ in range(self.behaviour.attempts):
-            status = await self.call_once(path, given, request_id)
+            status = await self.attempt_call(path, request_headers, request_id)
             if status == 200:
                 return 200
         return 502 if status == 502 else 503
 
-    async def call_once(
-        self, path: str, given: CIMultiDictProxy[str], request_id: str
+    async def attempt_call(
+        self, path: str, request_headers: CIMultiDictProxy[str], request_id: str
     ) -> int:
-        """Makes one attempt at a service below."""
+        """Makes one attempt at a call to a dependency.
+
+        Returns:
+          Status of the answer; 503 if no connection was available, 502 if the
+          connection failed, 500 if the answer carries another request id.
+        """
         assert self.pool is not None
         fields: CIMultiDict[str] = CIMultiDict(
             {"Host": "node", REQUEST_ID: request_id}
         )
         for name in (headers.CONTEXT, headers.TRACEPARENT):
-            if name in given:
-                fields[name] = given[name]
+            if name in request_headers:
+                fields[name] = request_headers[name]
         clean = False
         try:
             connection = await self.pool.lease()
@@ -173,19 +184,19 @@
 
 
 async def read_all(exchange: server.Exchange) -> bytes:
-    """Reads a whole request body."""
+    """Reads the complete body of a request."""
     exchange.continue_body()
     return await exchange.body.read()
 
 
 async def respond(exchange: server.Exchange, status: int, body: bytes) -> None:
-    """Sends a whole answer."""
+    """Sends a complete JSON answer."""
     fields: CIMultiDict[str] = CIMultiDict({"Content-Type": "application/json"})
     await exchange.respond(status, fields, body)
 
 
 async def serve(address: str, behaviour: Behaviour) -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is ended."""
     loop = asyncio.get_running_loop()
     target = TargetStandIn(behaviour, loop)
     host, _, port = address.rpartition(":")
