--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches, the demonstration, and the stand-ins they run against."""
+"""Benchmarks, the demonstration, and the stand-ins that they run against."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -51,7 +51,7 @@
 
 
 class SoakCommand(command.Command):
-    """Plays faults against real nodes."""
+    """Injects seeded faults into real nodes and checks the promises."""
 
     name = "soak"
     description = "Plays seeded faults against real nodes, checks promises."
@@ -66,7 +66,7 @@
     def handle(self) -> int:
         seed = int(self.option("seed"))
         keep = self.option("keep")
-        red = 0
+        failed_seeds = 0
         for number in range(seed, seed + int(self.option("rounds"))):
             folder = pathlib.Path(keep) / str(number) if keep else None
             seconds = float(self.option("seconds"))
@@ -75,12 +75,12 @@
             else:
                 result = soak_run.run(number, seconds, folder)
             print(json.dumps(dataclasses.asdict(result)), flush=True)
-            red += bool(result.broken)
-        return 1 if red else 0
+            failed_seeds += bool(result.broken)
+        return 1 if failed_seeds else 0
 
 
 class ProveCommand(command.Command):
-    """Searches generated histories."""
+    """Searches generated histories for violations."""
 
     name = "prove"
     description = "Searches generated histories for violations."
@@ -98,7 +98,7 @@
 
 
 def main() -> int:
-    """Runs one experiment."""
+    """Runs the command named on the command line."""
     built = application.Application("bench")
     built.auto_exits(False)
     for name, description, run in (
--- a/bench/binary.py
+++ b/bench/binary.py
@@ -1,8 +1,8 @@
-"""Builds the one-file program and shows how it runs.
+"""Builds the program as one executable file and measures its start.
 
-`shiv` packs the wheel and the locked packages into one executable archive.
-On its first start it unpacks into `SHIV_ROOT`, which on an instance without
-disks is a folder in memory; it then runs in the same process.
+`shiv` packs the wheel and the locked packages into one executable archive. On
+its first start the archive is unpacked into `SHIV_ROOT`, a folder in memory on
+instances without disks; the program then runs in the same process.
 """
 
 from __future__ import annotations
@@ -22,7 +22,11 @@
 
 
 def run(*command: str, **options: str) -> str:
-    """Runs a command and returns its output."""
+    """Runs a command with additional environment variables.
+
+    Returns:
+      Its standard output.
+    """
     done = subprocess.run(
         command,
         check=True,
@@ -34,7 +38,7 @@
 
 
 def build() -> None:
-    """Builds the program from the lock and the sources."""
+    """Builds the program from the sources and the locked packages."""
     DIST.mkdir(exist_ok=True)
     tool = pathlib.Path(sys.executable).parent
     run(
@@ -55,7 +59,7 @@
 
 
 def constraints(folder: str) -> pathlib.Path:
-    """Writes the locked versions without hashes, as constraints."""
+    """Writes the locked versions without hashes as a constraints file."""
     path = pathlib.Path(f"{folder}.constraints")
     lines = pathlib.Path("requirements.lock").read_text().splitlines()
     pins = [line.split(" ")[0] for line in lines if "==" in line[:80]]
@@ -64,25 +68,25 @@
 
 
 def children_of(pid: int) -> list[str]:
-    """Returns the processes that a process has started."""
+    """Returns the ids of the child processes of a process."""
     path = pathlib.Path(f"/proc/{pid}/task/{pid}/children")
     return path.read_text().split()
 
 
 def threads_of(pid: int) -> int:
-    """Returns how many threads a process has."""
+    """Returns the number of threads of a process."""
     return len(list(pathlib.Path(f"/proc/{pid}/task").iterdir()))
 
 
 def start_seconds(root: str) -> float:
-    """Returns how long `--version` takes."""
+    """Returns the duration of a start with `--version`, in seconds."""
     began = time.monotonic()
     run(str(PROGRAM.resolve()), "--version", SHIV_ROOT=root)
     return time.monotonic() - began
 
 
 def run_node(root: str) -> dict[str, int]:
-    """Runs a node from the binary and counts its processes."""
+    """Runs a node from the program and counts its processes and threads."""
     ports = [f"{fleet.HOST}:{port}" for port in fleet.free_ports(5)]
     settings = {
         "instance": "one",
@@ -114,12 +118,12 @@
 
 
 def main() -> int:
-    """Builds, runs and measures the binary."""
+    """Builds, runs and measures the program."""
     build()
     with tempfile.TemporaryDirectory() as root:
         first = start_seconds(root)
         again = min(start_seconds(root) for _ in range(3))
-        shown = run_node(root)
+        observed = run_node(root)
     print(
         measure.result(
             "binary",
@@ -127,13 +131,13 @@
                 "size_mb": PROGRAM.stat().st_size / 1e6,
                 "first_start_s": first,
                 "start_s": again,
-                "node_children": shown["children"],
-                "node_threads": shown["threads"],
-                "node_running": shown["running"],
+                "node_children": observed["children"],
+                "node_threads": observed["threads"],
+                "node_running": observed["running"],
             },
         )
     )
-    return 0 if shown["running"] and not shown["children"] else 1
+    return 0 if observed["running"] and not observed["children"] else 1
 
 
 if __name__ == "__main__":
--- a/bench/checkers.py
+++ b/bench/checkers.py
@@ -1,7 +1,6 @@
-"""Checkers of recorded histories; each returns the violations it finds.
+"""Checkers of recorded histories; each returns the violations that it finds.
 
-They serve the tests, on histories in memory, and the experiments, on those of
-real processes.
+Tests apply them to simulated histories, experiments to those of real processes.
 """
 
 from __future__ import annotations
@@ -13,16 +12,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Asked:
-    """One request as its caller saw it.
+    """One request as its caller observed it.
 
     Attributes:
-      request_id: Id that it carried.
-      service: Service that it called.
+      request_id: Id in the request.
+      service: Service that was called.
       status: HTTP status; 0 without an answer.
       answered_id: Id in the answer; empty without one.
-      not_run: Whether the final answer says that it did not run.
-      important: Whether it is a payment or a confirmation.
-      attempts: Attempts that the caller made.
+      not_run: Whether the last answer says that the request did not run.
+      important: Whether the request is a payment or a confirmation.
+      attempts: Number of attempts that the caller made.
     """
 
     request_id: str
@@ -39,11 +38,11 @@
     """One run at a target.
 
     Attributes:
-      request_id: Id that came with the call.
+      request_id: Id in the request.
       service: Service of the target.
       operation: Idempotency key; empty without one.
-      leaked: Whether a key reached the target.
-      at: Seconds at which it began.
+      leaked: Whether an API key reached the target.
+      at: Start of the run in seconds.
     """
 
     request_id: str
@@ -54,7 +53,7 @@
 
 
 def answers_are_own(asked: Iterable[Asked]) -> list[str]:
-    """Every good answer is the whole answer to its own request."""
+    """Checks that every answer with status 200 belongs to its request."""
     return [
         f"{one.request_id} got the answer to {one.answered_id or 'none'}"
         for one in asked
@@ -63,7 +62,7 @@
 
 
 def not_run_is_true(asked: Iterable[Asked], ran: Iterable[Ran]) -> list[str]:
-    """Nothing ran of a request whose only attempt was refused as not run."""
+    """Checks that no request ran whose only attempt was refused as not run."""
     runs = {(one.service, one.request_id) for one in ran}
     return [
         f"{one.request_id} was called not run and ran at {one.service}"
@@ -75,7 +74,7 @@
 
 
 def runs_are_bounded(ran: Iterable[Ran], *, most: int) -> list[str]:
-    """No service ran one request more often than its allowance lets it."""
+    """Checks that no service ran a request more than `most` times."""
     counts = collections.Counter((one.service, one.request_id) for one in ran)
     return [
         f"{request_id} ran {count} times at {service}, allowed: {most}"
@@ -85,7 +84,7 @@
 
 
 def operations_ran_once(ran: Iterable[Ran]) -> list[str]:
-    """No operation ran more than once at a service."""
+    """Checks that no operation ran more than once at a service."""
     counts = collections.Counter(
         (one.service, one.operation) for one in ran if one.operation
     )
@@ -97,7 +96,7 @@
 
 
 def keys_stayed_inside(ran: Iterable[Ran]) -> list[str]:
-    """No target saw a key."""
+    """Checks that no target received an API key."""
     return [
         f"{one.request_id} reached {one.service} with a key"
         for one in ran
@@ -106,7 +105,7 @@
 
 
 def important_shed_last(asked: Sequence[Asked]) -> list[str]:
-    """While browsing is shed, no payment or confirmation is."""
+    """Checks that no payment or confirmation failed while browsing was shed."""
     return [
         f"{one.request_id} was shed although important"
         for one in asked
@@ -115,7 +114,7 @@
 
 
 def nothing_after(ran: Iterable[Ran], *, left_at: float) -> list[str]:
-    """A target that left got no new work after a moment."""
+    """Checks that no run began after `left_at`, in seconds."""
     return [
         f"{one.request_id} began {one.at - left_at:.3f} s after the leave"
         for one in ran
@@ -126,17 +125,26 @@
 def rate_is_kept(
     times_ms: Sequence[float], *, rate: float, burst: float
 ) -> list[str]:
-    """No span of time holds more admitted calls than rate x time + burst."""
+    """Checks that no interval has more calls than rate x duration + burst.
+
+    Args:
+      times_ms: Times of the admitted calls.
+      rate: Calls per second.
+      burst: Calls allowed above the rate.
+    """
     times = sorted(times_ms)
     slack = 1e-6
-    # The worst span ending at a call begins at the call that leaves most
-    # room: keep the least of (rate x time - count) seen so far.
-    found = []
-    best = float("-inf")
+    # The excess of an interval is the difference of two levels, where level =
+    # count - rate x time. The worst interval that ends at a call begins at the
+    # call with the lowest level so far, so only that one is kept, negated.
+    violations = []
+    lowest_negated = float("-inf")
     for count, time_ms in enumerate(times):
         level = count - rate * time_ms / 1_000
-        best = max(best, -level)
-        over = level + 1 + best - burst
-        if over > slack:
-            found.append(f"{over:.3f} calls too many at {time_ms:.1f} ms")
-    return found
+        lowest_negated = max(lowest_negated, -level)
+        excess = level + 1 + lowest_negated - burst
+        if excess > slack:
+            violations.append(
+                f"{excess:.3f} calls too many at {time_ms:.1f} ms"
+            )
+    return violations
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the first users, in one services text."""
+"""Two example deployments that share one services file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """Targets of one service."""
+    """Targets of one service.
+
+    Attributes:
+      workers: Number of targets.
+      slots: Calls that a target processes concurrently.
+      work_ms: Mean service time without the calls to dependencies.
+      calls: Paths of the dependencies called for each call.
+    """
 
     workers: int
     slots: int
@@ -41,7 +48,7 @@
 
 
 def behaviours() -> dict[str, list[target_standin.Behaviour]]:
-    """Returns the targets of all services."""
+    """Returns the behaviour of each target, by service."""
     return {
         name: [
             target_standin.Behaviour(
@@ -57,7 +64,7 @@
 
 
 def board_kinds(scale: float) -> list[load.Kind]:
-    """Returns what a maker does."""
+    """Returns the requests of a maker, at `scale` times their base rates."""
     return [
         load.Kind("browse", "GET", "/permits/status", BROWSE_RATE * scale),
         load.Kind(
@@ -69,7 +76,7 @@
 
 
 def hinokawa_kinds(scale: float) -> list[load.Kind]:
-    """Returns what a guest does."""
+    """Returns the requests of a guest, at `scale` times their base rates."""
     return [
         load.Kind("browse", "GET", "/schedule/slots", BROWSE_RATE * scale),
         load.Kind(
@@ -81,7 +88,11 @@
 
 
 def command(store: str, *arguments: str) -> dict[str, str]:
-    """Runs one operators' command and returns its JSON."""
+    """Runs one command of the operators' command line.
+
+    Returns:
+      The JSON object that it prints.
+    """
     done = subprocess.run(
         [
             sys.executable, "-m", "currantcart", *arguments,
@@ -96,10 +107,10 @@
 
 
 def configure(store: str, *, rate: float, burst: float) -> dict[str, str]:
-    """Applies the services and creates the workspaces, as operators do.
+    """Applies the services and creates the workspaces with their limits.
 
     Returns:
-      A key for each workspace.
+      An API key for each workspace.
     """
     command(store, "services", "apply", str(SERVICES_FILE))
     keys = {}
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of an experiment, on loopback only."""
+"""Starts and ends the processes of an experiment on loopback."""
 
 from __future__ import annotations
 
@@ -33,11 +33,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that are free now.
+    """Returns ports that are currently free.
 
-    They lie below the range from which the kernel takes ports for outgoing
-    connections: one of those would else hold a port that a process planned
-    here is about to listen on.
+    They lie below the kernel's range of ephemeral ports: an outgoing connection
+    could otherwise be given a port on which a process is about to listen.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -52,14 +51,18 @@
 
 
 def wait_port(port: int) -> None:
-    """Waits until something listens on a port."""
+    """Waits until a process listens on a port.
+
+    Raises:
+      RuntimeError: None listens within `READY_SECONDS_MAX`.
+    """
     end = time.monotonic() + READY_SECONDS_MAX
     while time.monotonic() < end:
         with socket.socket() as probe:
             if probe.connect_ex((HOST, port)) == 0:
                 return
         time.sleep(0.05)
-    raise RuntimeError(f"nothing listens on port {port}")
+    raise RuntimeError(f"no process listens on port {port}")
 
 
 @dataclasses.dataclass
@@ -67,12 +70,12 @@
     """A node and the target beside it.
 
     Attributes:
-      instance: Name of the node.
-      behaviour: Behaviour of the target at start.
+      instance: Instance name of the node.
+      behaviour: Behaviour of the target at its start.
       domain: Failure domain.
-      callers: Address for callers.
-      peers: Address for other nodes.
-      admin: Admin address.
+      callers: Address that callers connect to.
+      peers: Address that other nodes connect to.
+      admin: Address of the admin interface.
       target: Address of the target.
     """
 
@@ -86,7 +89,7 @@
 
 
 class Fleet:
-    """Processes of one experiment; `close` ends exactly these."""
+    """Processes of one experiment; `close` ends these and no others."""
 
     def __init__(self) -> None:
         self.folder = tempfile.TemporaryDirectory(prefix="currantcart-bench-")
@@ -95,7 +98,7 @@
         self.store = ""
 
     def spawn(self, name: str, command: list[str]) -> None:
-        """Starts a process whose output goes to a file."""
+        """Starts a Python process that writes its output to a file."""
         log = pathlib.Path(self.folder.name, f"{name}.log")
         with log.open("wb") as sink:
             self.processes[name] = subprocess.Popen(
@@ -103,7 +106,7 @@
             )
 
     def log_of(self, name: str) -> str:
-        """Returns what a process has written."""
+        """Returns the output of a process so far."""
         return pathlib.Path(self.folder.name, f"{name}.log").read_text()
 
     def start_store(self) -> None:
@@ -119,7 +122,12 @@
         *,
         domains: int = 3,
     ) -> None:
-        """Lays out units for the targets of each service."""
+        """Assigns addresses and failure domains to the targets of each service.
+
+        Args:
+          services: Behaviour of each target, by service.
+          domains: Number of failure domains.
+        """
         total = sum(len(targets) for targets in services.values())
         ports = iter(free_ports(4 * total))
         for service, targets in services.items():
@@ -136,7 +144,7 @@
                 )
 
     def settings_of(self, unit: Unit, **more: Any) -> dict[str, Any]:
-        """Returns the settings of a unit's node."""
+        """Returns the settings of a unit's node, overridden by `more`."""
         seeds = [other.peers for other in self.units[:3]]
         return {
             "instance": unit.instance,
@@ -188,7 +196,11 @@
             self.start_node(unit, **more)
 
     async def wait_ready(self) -> None:
-        """Waits until every node serves and knows all the others."""
+        """Waits until every node is ready and knows all targets.
+
+        Raises:
+          RuntimeError: A node is not ready within `READY_SECONDS_MAX`.
+        """
         deadline = time.monotonic() + READY_SECONDS_MAX
         timeout = aiohttp.ClientTimeout(total=2)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -202,7 +214,7 @@
                     await asyncio.sleep(0.1)
 
     async def is_up(self, session: aiohttp.ClientSession, unit: Unit) -> bool:
-        """Tells whether a node answers."""
+        """Returns whether a node answers on its admin interface."""
         try:
             async with session.get(f"http://{unit.admin}/status") as response:
                 return response.status == 200
@@ -210,17 +222,23 @@
             return False
 
     async def wait_up(self, session: aiohttp.ClientSession, unit: Unit) -> None:
-        """Waits until a started node answers."""
+        """Waits until a started node answers.
+
+        Raises:
+          RuntimeError: It does not answer within `READY_SECONDS_MAX`.
+        """
         for _ in range(int(READY_SECONDS_MAX / 0.02)):
             if await self.is_up(session, unit):
                 return
             await asyncio.sleep(0.02)
-        raise RuntimeError(f"{unit.instance} does not come up")
+        raise RuntimeError(
+            f"{unit.instance} did not answer on its admin interface"
+        )
 
     async def is_ready(
         self, session: aiohttp.ClientSession, unit: Unit
     ) -> bool:
-        """Tells whether a node serves and knows all targets."""
+        """Returns whether a node is ready and knows all targets."""
         try:
             async with session.get(f"http://{unit.admin}/ready") as response:
                 if response.status != 200:
@@ -243,7 +261,7 @@
             await response.read()
 
     async def history(self, unit: Unit) -> list[dict[str, Any]]:
-        """Returns what ran at a target."""
+        """Returns the calls that ran at a target."""
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{unit.target}/_history") as response,
@@ -254,7 +272,11 @@
     async def ask_store(
         self, method: str, path: str, body: object = None
     ) -> dict[str, int]:
-        """Asks the store stand-in something."""
+        """Sends a request to the store stand-in.
+
+        Returns:
+          The JSON object of the answer; empty if it is another value.
+        """
         async with (
             aiohttp.ClientSession() as session,
             session.request(
@@ -269,7 +291,7 @@
         self.processes[name].send_signal(number)
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Ends all processes and removes their files."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -280,7 +302,7 @@
 
 @contextlib.contextmanager
 def open_fleet() -> Iterator[Fleet]:
-    """Opens a fleet and ends its processes whatever happens."""
+    """Yields a fleet and ends its processes in any case."""
     fleet = Fleet()
     try:
         yield fleet
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Callers: open-loop load with retries, and what they saw."""
+"""Callers that send open-loop load with retries and record the outcomes."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     """One kind of request.
 
     Attributes:
-      name: For the tables.
+      name: Name in results.
       method: HTTP method.
-      path: Path with the service.
-      rate: Requests a second.
-      payload: Bytes of the body.
-      patience_ms: When the caller gives up.
-      attempts: Attempts that it makes.
-      operation: Whether it carries an idempotency key.
+      path: Path that begins with the service.
+      rate: Requests per second.
+      payload: Body size in bytes.
+      patience_ms: Time-out of the request with all its attempts.
+      attempts: Maximum number of attempts.
+      operation: Whether the request carries an idempotency key.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass
 class Caller:
-    """A workspace that sends kinds of requests."""
+    """A workspace with its API key and the kinds of requests that it sends."""
 
     workspace: str
     key: str
@@ -51,20 +51,20 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What became of one request.
+    """Outcome of one request.
 
     Attributes:
-      request_id: Its id, which the whole answer must carry.
-      workspace: Who sent it.
-      kind: What it was.
-      started: Seconds since the start of the load.
-      seconds: How long it took, with all attempts.
+      request_id: Request id, which the answer must carry.
+      workspace: Workspace that sent the request.
+      kind: Name of the kind of request.
+      started: Time at which it was due, in seconds since the load began.
+      seconds: Duration with all attempts.
       status: Last HTTP status; 0 without an answer.
-      code: Code of the last refusal, or what went wrong.
-      whole: Whether the whole answer to this very request came.
-      not_run: Whether the last refusal said so.
-      attempts: Attempts made.
-      not_run_attempts: Attempts whose answer said "not run".
+      code: Code of the last refusal, or the error of the last attempt.
+      whole: Whether the complete answer to this request was received.
+      not_run: Whether the last refusal says that the request did not run.
+      attempts: Number of attempts made.
+      not_run_attempts: Number of attempts that were refused as not run.
     """
 
     request_id: str
@@ -81,7 +81,7 @@
 
 
 class Load:
-    """Open-loop load on the nodes' caller ports."""
+    """Open-loop load on the caller ports of the nodes."""
 
     def __init__(
         self, addresses: list[str], *, seed: int, connections_max: int = 2_000
@@ -105,7 +105,7 @@
         self.sent = 0
 
     async def run(self, callers: list[Caller], *, seconds: float) -> None:
-        """Sends for a time and waits for the last answers."""
+        """Sends requests for `seconds` and waits until all have ended."""
         self.started = time.monotonic()
         await asyncio.gather(
             *(
@@ -120,7 +120,7 @@
     async def send_kind(
         self, caller: Caller, kind: Kind, seconds: float
     ) -> None:
-        """Sends one kind at its rate, with exponential gaps."""
+        """Sends requests of one kind, with exponential intervals."""
         due = self.started + self.rng.expovariate(kind.rate)
         while due < self.started + seconds:
             delay = due - time.monotonic()
@@ -142,7 +142,7 @@
     async def request(
         self, caller: Caller, kind: Kind, outcome: Outcome
     ) -> None:
-        """Makes one request with all its attempts."""
+        """Makes one request with its retries."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(kind.patience_ms / 1_000):
@@ -159,7 +159,7 @@
     async def attempt(
         self, caller: Caller, kind: Kind, outcome: Outcome
     ) -> None:
-        """Makes one attempt."""
+        """Makes one attempt on a random node and records its outcome."""
         fields: CIMultiDict[str] = CIMultiDict(
             {
                 "Host": "currantcart",
@@ -185,7 +185,7 @@
             answer = await connection.answer()
             body = await answer.body.read()
             clean = True
-            self.take_answer(outcome, answer.message.code, body)
+            self.record_answer(outcome, answer.message.code, body)
         except (*client.TRANSPORT_ERRORS, errors.Refusal) as error:
             outcome.status = 0
             outcome.code = type(error).__name__
@@ -194,8 +194,8 @@
             if connection is not None:
                 pool.release(connection, clean=clean)
 
-    def take_answer(self, outcome: Outcome, status: int, body: bytes) -> None:
-        """Judges an answer."""
+    def record_answer(self, outcome: Outcome, status: int, body: bytes) -> None:
+        """Records an answer in the outcome of its request."""
         outcome.status = status
         outcome.code = ""
         outcome.not_run = False
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Figures: percentiles, processor time of processes, the result line."""
+"""Percentiles, processor time and memory of processes, result lines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Latency:
-    """Latencies of one path, in ms."""
+    """Distribution of the latencies of one request path."""
 
     def __init__(self) -> None:
         self.histogram = histogram.HdrHistogram(1, MICROSECONDS_MAX, 3)
@@ -26,20 +26,20 @@
         self.histogram.record_value(max(1, int(seconds * 1e6)))
 
     def percentile(self, percent: float) -> float:
-        """Returns a percentile in ms."""
+        """Returns a percentile of the latencies in milliseconds."""
         value = self.histogram.get_value_at_percentile(percent)
         return float(value) / 1_000
 
 
 def processor_seconds(pid: int) -> float:
-    """Returns the processor time that a process has used."""
+    """Returns the user and system time of a process in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1]
     user, system = fields.split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
 def resident_mb(pid: int) -> float:
-    """Returns the resident memory of a process."""
+    """Returns the resident memory of a process in MB; 0 if it is unknown."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1_000
@@ -47,7 +47,7 @@
 
 
 def commit() -> str:
-    """Returns the commit that is measured; a changed tree is marked."""
+    """Returns the current commit, marked if the working tree is changed."""
     done = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         capture_output=True,
@@ -58,7 +58,7 @@
 
 
 def result(experiment: str, figures: dict[str, float | int | str]) -> str:
-    """Returns the JSON line of an experiment, and keeps it."""
+    """Returns the JSON line of an experiment and appends it to its results."""
     line = json.dumps(
         {
             "experiment": experiment,
--- a/bench/node_requirements.py
+++ b/bench/node_requirements.py
@@ -1,7 +1,7 @@
-"""Cuts what a node needs out of `requirements.lock`.
+"""Extracts the packages that a node needs from `requirements.lock`.
 
-The lock holds the developers' tools as well; a node that is started on the
-users' machines pays for what it imports and for what is installed.
+The lock file also pins development tools. They are left out because every
+package that is installed or imported adds to the cost of starting a node.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def cut(lock: str) -> str:
-    """Returns the blocks of a lock that a node needs."""
+    """Returns the entries of a lock file for the packages in `WANTED`."""
     kept = [HEADER]
     for block in BLOCK.split(lock):
         if block.partition("==")[0] in WANTED:
--- a/bench/reference.py
+++ b/bench/reference.py
@@ -1,6 +1,6 @@
-"""Writes the settings reference from the validated models.
+"""Generates the settings reference page from the settings models.
 
-`python -m bench.reference` writes the page; a test compares it.
+`python -m bench.reference` writes the page; a test compares it with the models.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def descriptions(section: type[object]) -> dict[str, str]:
-    """Returns the text of each attribute in a model's doc comment."""
+    """Returns the text of each attribute in the doc string of a model."""
     text = inspect.getdoc(section) or ""
     _, _, attributes = text.partition("Attributes:\n")
     found: dict[str, str] = {}
@@ -56,7 +56,7 @@
 
 
 def default_of(default: object) -> str:
-    """Returns how a default reads on the page."""
+    """Returns the text of a default value on the page."""
     if default is PydanticUndefined or default is msgspec.NODEFAULT:
         return "required"
     if isinstance(default, pydantic.BaseModel | msgspec.Struct):
@@ -67,7 +67,7 @@
 def rows(
     name: str, texts: dict[str, str], defaults: dict[str, object]
 ) -> list[str]:
-    """Returns the table of one section."""
+    """Returns the lines of one section: its title and its table of fields."""
     title = f"## `{name}`" if name else "## Top level"
     lines = [
         "",
@@ -83,7 +83,7 @@
 
 
 def page() -> str:
-    """Returns the whole page."""
+    """Returns the complete page."""
     lines = [HEAD.rstrip("\n")]
     for name, section in SECTIONS:
         defaults = {
