--- a/src/currantcart/node/gossip.py
+++ b/src/currantcart/node/gossip.py
@@ -58,13 +58,13 @@
             self.context.metrics.streams.labels(error.code).inc()
             return
         now = self.context.clock.now()
-        self.context.isolation.heard_peer(now)
+        self.context.isolation.on_datagram(now)
         self.send(self.detector.receive(datagram, now))
         self.notify_changes()
         if datagram.revision > self.context.config.revision:
             self.on_missing_state(datagram.sender, datagram.sender_address)
-        for stranger in self.detector.take_strangers():
-            self.on_missing_state(stranger.sender, stranger.sender_address)
+        for unknown in self.detector.take_unknown_senders():
+            self.on_missing_state(unknown.sender, unknown.sender_address)
 
     def send(self, outgoing: list[detector.Outgoing]) -> None:
         """Encodes and sends datagrams."""
@@ -94,11 +94,11 @@
     def announce(self) -> None:
         """Sends this node's entry to all peers at once."""
         self.detector.revision = self.context.config.revision
-        self.send(self.detector.farewell())
+        self.send(self.detector.broadcast_updates())
         self.notify_changes()
 
     def announce_revision(self) -> None:
         """Sends a new revision to a few random peers, which disseminate it."""
         self.detector.revision = self.context.config.revision
-        self.send(self.detector.rumour())
+        self.send(self.detector.gossip_updates())
         self.notify_changes()
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -59,8 +59,8 @@
             if self.reaches(sender, item.address):
                 peer = self.nodes[item.address]
                 self.send(item.address, peer.receive(item.datagram, self.now))
-                for stranger in peer.take_strangers():
-                    self.compare(item.address, stranger.sender_address)
+                for unknown in peer.take_unknown_senders():
+                    self.compare(item.address, unknown.sender_address)
 
     def compare(self, one: str, other: str) -> None:
         """Compares two tables, as nodes do over a stream."""
@@ -130,7 +130,7 @@
         dataclasses.replace(leaving.table.own, status=model.Status.LEAVING),
         net.now,
     )
-    net.send("a5", leaving.farewell())
+    net.send("a5", leaving.broadcast_updates())
     seen = {net.status(n, 5) for n in range(12) if n != 5}
     assert seen == {model.Status.LEAVING}
 
